--- a/bilberrylead/control/control_reducer_regions.cpp
+++ b/bilberrylead/control/control_reducer_regions.cpp
@@ -28,7 +28,7 @@
 
     void add_upstream(config::upstream const& upstream)
     {
-        policy::region_room* const room =
+        policy::region_capacity* const room =
             this->room(upstream.service, this->region_of[upstream.zone]);
         if (room != nullptr)
         {
@@ -49,7 +49,7 @@
         }
         for (link::service_demand const& demand : said.demands)
         {
-            policy::region_room* const room =
+            policy::region_capacity* const room =
                 this->room(demand.service, said.region);
             if (room != nullptr)
             {
@@ -89,22 +89,22 @@
     }
 
 private:
-    policy::region_room* room(service_id const& service,
-                              region_id const& region)
+    policy::region_capacity* room(service_id const& service,
+                                  region_id const& region)
     {
         auto const number = this->numbers.find(region);
         if (number == this->numbers.end())
         {
             return nullptr;
         }
-        std::vector<policy::region_room>& rooms = this->services[service];
+        std::vector<policy::region_capacity>& rooms = this->services[service];
         rooms.resize(this->numbers.size());
         return &rooms[number->second];
     }
 
     std::map<zone_id, region_id> region_of;
     std::map<region_id, std::size_t> numbers;
-    std::map<service_id, std::vector<policy::region_room>> services;
+    std::map<service_id, std::vector<policy::region_capacity>> services;
 };
 
 } // namespace
--- a/bilberrylead/daemon/entry_program_peers.cpp
+++ b/bilberrylead/daemon/entry_program_peers.cpp
@@ -233,9 +233,9 @@
         most.hosts = std::max(most.hosts, heard.hosts);
         most.in_a_region = std::max(most.in_a_region, heard.in_a_region);
     }
-    most.hosts = this->most_entry_hosts.note(most.hosts, clock_now());
+    most.hosts = this->most_entry_hosts.record(most.hosts, clock_now());
     most.in_a_region =
-        this->most_in_a_region.note(most.in_a_region, clock_now());
+        this->most_in_a_region.record(most.in_a_region, clock_now());
     this->server->dispatch(most);
 }
 
--- a/bilberrylead/entry/entry_reducer.hpp
+++ b/bilberrylead/entry/entry_reducer.hpp
@@ -10,9 +10,9 @@
 #include "bilberrylead/entry/live_request.hpp"
 #include "bilberrylead/entry/routing_table.hpp"
 #include "bilberrylead/entry/service_state.hpp"
+#include "bilberrylead/policy/connection_losses.hpp"
 #include "bilberrylead/policy/crash_history.hpp"
 #include "bilberrylead/policy/generator.hpp"
-#include "bilberrylead/policy/upstream_losses.hpp"
 
 #include <cstddef>
 #include <cstdint>
@@ -239,7 +239,7 @@
     instant last_work{};
     entry_counters counted;
     policy::crash_history crashes;
-    policy::upstream_losses losses;
+    policy::connection_losses losses;
 };
 
 } // namespace bilberrylead::entry
--- a/bilberrylead/entry/entry_reducer_configuration.cpp
+++ b/bilberrylead/entry/entry_reducer_configuration.cpp
@@ -94,7 +94,8 @@
         auto const state = this->states.find(service);
         if (state != this->states.end())
         {
-            state->second.regions().aim(this->named_regions(target), this->now);
+            state->second.regions().set_target(this->named_regions(target),
+                                               this->now);
         }
     }
 }
@@ -150,7 +151,7 @@
     }
     double const hosts = static_cast<double>(this->entry_hosts.hosts);
     double const saved =
-        policy::shared_bound_use * this->chosen.retries.slack / hosts;
+        policy::shared_bound_utilization * this->chosen.retries.slack / hosts;
 
     double const senders = static_cast<double>(this->entry_hosts.in_a_region);
     std::uint32_t const home = this->number_of(this->own_region());
--- a/bilberrylead/entry/entry_reducer_crashes.cpp
+++ b/bilberrylead/entry/entry_reducer_crashes.cpp
@@ -41,14 +41,14 @@
         return;
     }
     upstream_id const& upstream = request.tried.back();
-    switch (this->losses.note_loss(upstream, request.digest, this->now))
+    switch (this->losses.record_loss(upstream, request.digest, this->now))
     {
-    case policy::loss_step::probe:
+    case policy::connection_loss_action::probe:
         this->out.push_back(probe_upstream{upstream, request.sent_to});
         return;
-    case policy::loss_step::wait:
+    case policy::connection_loss_action::wait:
         return;
-    case policy::loss_step::ended:
+    case policy::connection_loss_action::upstream_ended:
         this->note_crash(request.digest, upstream);
         return;
     }
@@ -59,7 +59,7 @@
     switch (happened.outcome)
     {
     case probe_outcome::taken:
-        this->losses.note_alive(happened.upstream);
+        this->losses.record_responsive(happened.upstream);
         this->out.push_back(loss_settled{happened.upstream, false});
         return;
     case probe_outcome::refused:
@@ -74,7 +74,7 @@
 /// Upstreams that are listed no more have ended.
 void entry_reducer::find_ended()
 {
-    for (upstream_id const& upstream : this->losses.open())
+    for (upstream_id const& upstream : this->losses.unresolved())
     {
         bool const is_listed =
             std::any_of(this->listed->begin(), this->listed->end(),
@@ -92,7 +92,7 @@
 void entry_reducer::note_end(upstream_id const& upstream)
 {
     std::vector<std::uint64_t> const digests =
-        this->losses.note_ended(upstream, this->now);
+        this->losses.record_ended(upstream, this->now);
     if (!digests.empty())
     {
         this->out.push_back(loss_settled{upstream, true});
--- a/bilberrylead/entry/entry_reducer_placement.cpp
+++ b/bilberrylead/entry/entry_reducer_placement.cpp
@@ -1,6 +1,6 @@
 #include "bilberrylead/entry/entry_reducer.hpp"
 
-#include "bilberrylead/policy/object_of_route.hpp"
+#include "bilberrylead/policy/route_scoped_object.hpp"
 
 #include <algorithm>
 #include <cassert>
@@ -91,7 +91,7 @@
     request.deadline = this->now + route.timeout;
     request.object =
         route.object_affinity
-            ? policy::object_of_route(hash_of(route), happened.object)
+            ? policy::route_scoped_object(hash_of(route), happened.object)
             : 0;
     // Silence within the route's time is no failure.
     request.progress_timeout = route.timeout;
@@ -179,10 +179,10 @@
     if (!request.region.has_value())
     {
         bool const planned = !state.regions().current().empty();
-        request.region = planned
-                             ? static_cast<std::uint32_t>(state.regions().next(
-                                   request.object, this->now, state.random))
-                             : home;
+        request.region =
+            planned ? static_cast<std::uint32_t>(state.regions().next_region(
+                          request.object, this->now, state.random))
+                    : home;
     }
     policy::placement_verdict verdict =
         this->find_place(request, *request.region);
@@ -203,8 +203,8 @@
         return;
     }
     request.life.pause();
-    if (policy::no_room_to_place const* const full =
-            std::get_if<policy::no_room_to_place>(&verdict))
+    if (policy::no_free_capacity const* const full =
+            std::get_if<policy::no_free_capacity>(&verdict))
     {
         request.expected_wait = full->wait;
         this->refuse(request, refusal_reason::no_room, full->retry_after);
@@ -216,10 +216,10 @@
 policy::placement_verdict entry_reducer::find_place(live_request& request,
                                                     std::uint32_t region)
 {
-    policy::placement_question question;
+    policy::placement_request question;
     question.object = request.object;
-    question.to_aim = request.aim - this->now;
-    question.to_deadline = request.deadline - this->now;
+    question.time_to_target = request.aim - this->now;
+    question.time_to_deadline = request.deadline - this->now;
     question.region = region;
     return this->state_of(request.service)
         .place(question, request.reached, request.tried, this->now);
--- a/bilberrylead/entry/service_state.cpp
+++ b/bilberrylead/entry/service_state.cpp
@@ -235,7 +235,7 @@
         view.report_age =
             known.is_reported ? now - known.reported_at : duration::max();
         view.service_time = known.held.mean();
-        view.distance = this->configured[place].distance;
+        view.one_way_latency = this->configured[place].distance;
         view.condition = known.health.condition();
         view.leaving = !this->open(place, now);
         // What is beyond the slots would wait behind one, where it can be
@@ -331,7 +331,7 @@
     known.in_use_by_others = slots - std::min(slots, known.in_flight);
     known.reported_at = now;
     known.is_reported = true;
-    known.estimate.turned_away(slots, known.in_flight, now);
+    known.estimate.record_refusal(slots, known.in_flight, now);
 }
 
 void service_state::note_report(upstream_id const& id,
@@ -357,10 +357,10 @@
         this->waiting() > 0 && this->pool({}, now).free == 0;
     for (auto& [id, known] : this->records)
     {
-        known.health.reduce(policy::health_checked{}, now);
+        known.health.reduce(policy::health_timer_elapsed{}, now);
         if (short_of_room)
         {
-            known.health.reduce(policy::room_ran_out{}, now);
+            known.health.reduce(policy::capacity_exhausted{}, now);
         }
     }
 }
--- a/bilberrylead/entry/service_state.hpp
+++ b/bilberrylead/entry/service_state.hpp
@@ -10,11 +10,12 @@
 #include "bilberrylead/policy/admission_queue.hpp"
 #include "bilberrylead/policy/arrival_rate.hpp"
 #include "bilberrylead/policy/cold_share.hpp"
-#include "bilberrylead/policy/completion_choice.hpp"
 #include "bilberrylead/policy/generator.hpp"
+#include "bilberrylead/policy/least_completion_choice.hpp"
 #include "bilberrylead/policy/limit_report.hpp"
+#include "bilberrylead/policy/mean_load.hpp"
 #include "bilberrylead/policy/placement_candidate.hpp"
-#include "bilberrylead/policy/placement_question.hpp"
+#include "bilberrylead/policy/placement_request.hpp"
 #include "bilberrylead/policy/placement_verdict.hpp"
 #include "bilberrylead/policy/region_shares.hpp"
 #include "bilberrylead/policy/retry_budget.hpp"
@@ -22,7 +23,6 @@
 #include "bilberrylead/policy/slot_pool.hpp"
 #include "bilberrylead/policy/upstream_placement.hpp"
 #include "bilberrylead/policy/upstream_set.hpp"
-#include "bilberrylead/policy/usual_load.hpp"
 
 #include <chrono>
 #include <cstddef>
@@ -111,7 +111,7 @@
     }
 
     /// Decides where a request goes that waits at an upstream if it has to.
-    policy::placement_verdict place(policy::placement_question const& question,
+    policy::placement_verdict place(policy::placement_request const& question,
                                     reach const& reached,
                                     std::vector<upstream_id> const& tried,
                                     instant now);
@@ -185,7 +185,7 @@
     /// Time that requests usually run, for callers that come back.
     duration usual_run() const
     {
-        return this->usual.run();
+        return this->usual.run_time();
     }
 
     /// Work was started there.
@@ -254,7 +254,7 @@
                     std::vector<upstream_id> const& left_out, instant now);
 
     bool sends_cold_to(std::uint64_t upstream, std::uint32_t region) const;
-    policy::usual_load& usual_in(std::uint32_t region);
+    policy::mean_load& usual_in(std::uint32_t region);
     void fill_candidates(std::uint64_t object, reach const& reached,
                          std::vector<upstream_id> const& tried, instant now);
 
@@ -267,8 +267,8 @@
     policy::upstream_placement placement;
     // Over all upstreams, and over those of one region by its number, which
     // starts from what was usual when the region was first looked at.
-    policy::usual_load usual;
-    std::map<std::uint32_t, policy::usual_load> usual_by_region;
+    policy::mean_load usual;
+    std::map<std::uint32_t, policy::mean_load> usual_by_region;
     policy::cold_share cold;
     policy::arrival_rate arrivals{demand_memory};
     policy::region_shares shares{region_pace};
@@ -276,7 +276,7 @@
     // Upstreams whose limits or counts the other entry hosts don't know yet.
     std::set<upstream_id> untold_limits;
     std::map<reach, policy::admission_queue> queues;
-    policy::completion_choice choice;
+    policy::least_completion_choice choice;
     policy::service_time_estimate held;
     policy::service_time_estimate answered;
     // Kept between calls, so that a choice allocates nothing.
--- a/bilberrylead/entry/service_state_placement.cpp
+++ b/bilberrylead/entry/service_state_placement.cpp
@@ -29,10 +29,10 @@
 double service_state::demand(instant now) const
 {
     return this->arrivals.per_second(now) *
-           std::chrono::duration<double>(this->usual.run()).count();
+           std::chrono::duration<double>(this->usual.run_time()).count();
 }
 
-policy::usual_load& service_state::usual_in(std::uint32_t region)
+policy::mean_load& service_state::usual_in(std::uint32_t region)
 {
     return this->usual_by_region.try_emplace(region, this->usual).first->second;
 }
@@ -45,9 +45,9 @@
         return false;
     }
     // Each cold upstream has other hosts that send to it.
-    return this->cold.part_of_hosts >= 1 ||
-           policy::generator(this->cold.host ^ upstream).unit() <
-               this->cold.part_of_hosts;
+    return this->cold.host_fraction >= 1 ||
+           policy::generator(this->cold.host_hash ^ upstream).unit() <
+               this->cold.host_fraction;
 }
 
 void service_state::note_cold(zone_id const& zone, instant until)
@@ -67,10 +67,10 @@
 {
     upstream_record& known = this->record(id);
     std::uint32_t const held = load.running + load.waiting;
-    known.estimate.reported(held, known.in_flight, now);
+    known.estimate.record_report(held, known.in_flight, now);
     double const others = held > known.in_flight ? held - known.in_flight : 0;
-    this->usual.note_held(others);
-    this->usual_in(known.region).note_held(others);
+    this->usual.record_held_by_others(others);
+    this->usual_in(known.region).record_held_by_others(others);
 }
 
 void service_state::note_run(upstream_id const& id, duration time,
@@ -79,16 +79,16 @@
     // The mean follows what upstreams of usual speed do; one that is slow
     // must not make its slowness the usual.
     upstream_record& known = this->record(id);
-    policy::usual_load& siblings = this->usual_in(known.region);
-    known.estimate.ran(time, siblings.run(), now);
+    policy::mean_load& siblings = this->usual_in(known.region);
+    known.estimate.record_run(time, siblings.run_time(), now);
     if (object != 0)
     {
-        known.objects.note(object);
+        known.objects.record(object);
     }
     duration const normal =
-        scaled(time, 1.0 / std::max(1.0, known.estimate.slowness(now)));
-    siblings.note_run(normal);
-    this->usual.note_run(normal);
+        scaled(time, 1.0 / std::max(1.0, known.estimate.slowdown(now)));
+    siblings.record_run(normal);
+    this->usual.record_run(normal);
 }
 
 void service_state::fill_candidates(std::uint64_t object, reach const& reached,
@@ -100,26 +100,27 @@
     {
         config::upstream const& upstream = *this->configured[place].upstream;
         upstream_record const& known = *this->configured_records[place];
-        policy::usual_load const& siblings =
+        policy::mean_load const& siblings =
             this->usual_in(this->configured[place].region);
         policy::placement_candidate& candidate = this->candidates[place];
         candidate.hash = known.hash;
         candidate.slots = std::max(1U, known.health.usable_slots());
         candidate.in_flight = known.in_flight;
-        candidate.others = known.estimate.others(siblings.held(), now);
+        candidate.held_by_others =
+            known.estimate.held_by_others(siblings.held_by_others(), now);
         candidate.service_time =
-            scaled(siblings.run(), known.estimate.slowness(now));
-        candidate.distance = this->configured[place].distance;
+            scaled(siblings.run_time(), known.estimate.slowdown(now));
+        candidate.one_way_latency = this->configured[place].distance;
         candidate.region = this->configured[place].region;
         bool const is_cold = now < known.cold_until;
         bool const suspected =
             known.health.condition() != policy::upstream_condition::healthy;
         candidate.penalty =
-            scaled(siblings.run(), (suspected ? suspicion_runs : 0) +
-                                       (is_cold ? cold_runs : 0));
+            scaled(siblings.run_time(), (suspected ? suspicion_runs : 0) +
+                                            (is_cold ? cold_runs : 0));
         candidate.tried =
             std::find(tried.begin(), tried.end(), upstream.id) != tried.end();
-        candidate.familiar = object != 0 && known.objects.knows(object);
+        candidate.likely_cached = object != 0 && known.objects.contains(object);
         candidate.allowed =
             this->reaches(reached, place) && this->open(place, now) &&
             known.limit.has_token(now) &&
@@ -131,7 +132,7 @@
 }
 
 policy::placement_verdict
-service_state::place(policy::placement_question const& question,
+service_state::place(policy::placement_request const& question,
                      reach const& reached,
                      std::vector<upstream_id> const& tried, instant now)
 {
--- a/bilberrylead/entry/upstream_record.hpp
+++ b/bilberrylead/entry/upstream_record.hpp
@@ -2,8 +2,8 @@
 #define BILBERRYLEAD_ENTRY_UPSTREAM_RECORD_HPP
 
 #include "bilberrylead/core/time.hpp"
-#include "bilberrylead/policy/object_memory.hpp"
 #include "bilberrylead/policy/rate_limit.hpp"
+#include "bilberrylead/policy/recent_objects.hpp"
 #include "bilberrylead/policy/service_time_estimate.hpp"
 #include "bilberrylead/policy/shared_limit.hpp"
 #include "bilberrylead/policy/upstream_estimate.hpp"
@@ -45,7 +45,7 @@
     /// upstreams.
     policy::upstream_estimate estimate;
     /// Objects that this host had it work on.
-    policy::object_memory objects;
+    policy::recent_objects objects;
     /// What this host may send it while it is cold.
     policy::rate_limit cold_tokens;
     /// What it takes from all entry hosts together.
--- a/bilberrylead/policy/arrival_rate.hpp
+++ b/bilberrylead/policy/arrival_rate.hpp
@@ -14,8 +14,8 @@
 {
 public:
     /// A rate over about the last `memory`, over 0.
-    explicit arrival_rate(std::chrono::duration<double> memory)
-        : time_constant(memory)
+    explicit arrival_rate(std::chrono::duration<double> averaging_time)
+        : time_constant(averaging_time)
     {
     }
 
@@ -23,13 +23,13 @@
     void add(instant now)
     {
         this->rate = this->per_second(now) + 1.0 / this->time_constant.count();
-        this->counted_at = now;
+        this->updated_at = now;
     }
 
     /// Arrivals a second.
     double per_second(instant now) const
     {
-        std::chrono::duration<double> const age = now - this->counted_at;
+        std::chrono::duration<double> const age = now - this->updated_at;
         return this->rate *
                std::exp(-age.count() / this->time_constant.count());
     }
@@ -37,7 +37,7 @@
 private:
     std::chrono::duration<double> time_constant;
     double rate = 0;
-    instant counted_at{};
+    instant updated_at{};
 };
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/cold_share.hpp
+++ b/bilberrylead/policy/cold_share.hpp
@@ -9,7 +9,7 @@
 
 /// Part of a bound over all entry hosts that they use together: their number
 /// may be old by one host that came.
-inline constexpr double shared_bound_use = 0.8;
+inline constexpr double shared_bound_utilization = 0.8;
 
 /// What one entry host may send to a cold upstream, so that all of them
 /// together keep the bound without hearing of each other.
@@ -23,9 +23,9 @@
     /// Requests a second, beside one that is saved up.
     double requests_per_second = 0;
     /// Part of the entry hosts that send to one cold upstream, 0 to 1.
-    double part_of_hosts = 1;
+    double host_fraction = 1;
     /// Hash of this entry host's name.
-    std::uint64_t host = 0;
+    std::uint64_t host_hash = 0;
     /// Number of the region whose cold upstreams it sends to; none: of every
     /// region. The bound is shared among the entry hosts of one region, so
     /// that a host need not know where the callers of others are sent; once
@@ -36,21 +36,24 @@
 /// The share of one of so many entry hosts, where all of them together may
 /// send `bound` requests in any second; `host` is the hash of its name.
 inline cold_share cold_share_of(double bound, double senders,
-                                std::uint64_t host)
+                                std::uint64_t host_hash)
 {
     /// Part that is used where chance picks the hosts: so small that more of
     /// them than the bound allows are picked for hardly any upstream.
-    constexpr double drawn_use = 0.4;
+    constexpr double sampled_utilization = 0.4;
     /// Requests a second that a host which sends may send at least: without
     /// any, nobody would see that the upstream is warm again.
-    constexpr double least_rate = 0.1;
-    double const rate = shared_bound_use * bound / senders - 1;
-    if (rate >= least_rate)
+    constexpr double min_rate = 0.1;
+    double const rate = shared_bound_utilization * bound / senders - 1;
+    if (rate >= min_rate)
     {
-        return {rate, 1, host, {}};
+        return {rate, 1, host_hash, {}};
     }
-    double const drawn = drawn_use * bound / (1 + least_rate);
-    return {least_rate, drawn < senders ? drawn / senders : 1, host, {}};
+    double const sampled_hosts = sampled_utilization * bound / (1 + min_rate);
+    return {min_rate,
+            sampled_hosts < senders ? sampled_hosts / senders : 1,
+            host_hash,
+            {}};
 }
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/completion_choice.cpp
+++ b/bilberrylead/policy/least_completion_choice.cpp
@@ -1,4 +1,4 @@
-#include "bilberrylead/policy/completion_choice.hpp"
+#include "bilberrylead/policy/least_completion_choice.hpp"
 
 #include <algorithm>
 #include <cstdint>
@@ -6,8 +6,8 @@
 namespace bilberrylead::policy
 {
 
-duration
-completion_choice::expected_completion(upstream_view const& upstream) const
+duration least_completion_choice::expected_completion(
+    upstream_view const& upstream) const
 {
     // What others hold fades linearly with the age of the report.
     std::int64_t const lifetime = this->settings.report_lifetime.count();
@@ -24,7 +24,7 @@
     duration const service(static_cast<std::int64_t>(
         static_cast<double>(upstream.service_time.count()) * (1.0 + waits)));
 
-    duration completion = 2 * upstream.distance + service;
+    duration completion = 2 * upstream.one_way_latency + service;
     if (upstream.condition == upstream_condition::suspected)
     {
         completion += this->settings.suspicion_penalty;
@@ -32,9 +32,9 @@
     return completion;
 }
 
-std::optional<std::size_t> completion_choice::choose(upstream_set const& set,
-                                                     instant /*now*/,
-                                                     generator& random) const
+std::optional<std::size_t>
+least_completion_choice::choose(upstream_set const& set, instant /*now*/,
+                                generator& random) const
 {
     std::optional<std::size_t> picked;
     duration shortest{};
@@ -42,7 +42,7 @@
     for (std::size_t index = 0; index < set.upstreams.size(); ++index)
     {
         upstream_view const& upstream = set.upstreams[index];
-        if (!upstream.takes_work())
+        if (!upstream.accepts_work())
         {
             continue;
         }
--- a/bilberrylead/policy/completion_choice.hpp
+++ b/bilberrylead/policy/least_completion_choice.hpp
@@ -1,7 +1,7 @@
-#ifndef BILBERRYLEAD_POLICY_COMPLETION_CHOICE_HPP
-#define BILBERRYLEAD_POLICY_COMPLETION_CHOICE_HPP
+#ifndef BILBERRYLEAD_POLICY_LEAST_COMPLETION_CHOICE_HPP
+#define BILBERRYLEAD_POLICY_LEAST_COMPLETION_CHOICE_HPP
 
-#include "bilberrylead/policy/completion_choice_settings.hpp"
+#include "bilberrylead/policy/least_completion_choice_settings.hpp"
 #include "bilberrylead/policy/upstream_choice.hpp"
 
 namespace bilberrylead::policy
@@ -17,11 +17,12 @@
 /// is there. A report can only add to the own count, never take from it, so
 /// an upstream that reports "idle" gains nothing over one that has no
 /// report; and what it adds fades with its age.
-class completion_choice
+class least_completion_choice
 {
 public:
     /// Makes a choice that follows `settings`.
-    explicit completion_choice(completion_choice_settings const& settings = {})
+    explicit least_completion_choice(
+        least_completion_choice_settings const& settings = {})
         : settings(settings)
     {
     }
@@ -35,7 +36,7 @@
     duration expected_completion(upstream_view const& upstream) const;
 
 private:
-    completion_choice_settings settings;
+    least_completion_choice_settings settings;
 };
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/completion_choice_settings.hpp
+++ b/bilberrylead/policy/least_completion_choice_settings.hpp
@@ -1,5 +1,5 @@
-#ifndef BILBERRYLEAD_POLICY_COMPLETION_CHOICE_SETTINGS_HPP
-#define BILBERRYLEAD_POLICY_COMPLETION_CHOICE_SETTINGS_HPP
+#ifndef BILBERRYLEAD_POLICY_LEAST_COMPLETION_CHOICE_SETTINGS_HPP
+#define BILBERRYLEAD_POLICY_LEAST_COMPLETION_CHOICE_SETTINGS_HPP
 
 #include "bilberrylead/core/time.hpp"
 
@@ -9,7 +9,7 @@
 {
 
 /// Settings of completion_choice.
-struct completion_choice_settings
+struct least_completion_choice_settings
 {
     /// Age at which a load report counts for nothing; over 0. A slot is
     /// held for 20 ms on average, so what a report says about others' work
--- a/bilberrylead/policy/least_in_flight_choice.cpp
+++ b/bilberrylead/policy/least_in_flight_choice.cpp
@@ -15,7 +15,7 @@
     for (std::size_t index = 0; index < set.upstreams.size(); ++index)
     {
         upstream_view const& upstream = set.upstreams[index];
-        if (!upstream.takes_work())
+        if (!upstream.accepts_work())
         {
             continue;
         }
--- a/bilberrylead/policy/usual_load.hpp
+++ b/bilberrylead/policy/mean_load.hpp
@@ -1,5 +1,5 @@
-#ifndef BILBERRYLEAD_POLICY_USUAL_LOAD_HPP
-#define BILBERRYLEAD_POLICY_USUAL_LOAD_HPP
+#ifndef BILBERRYLEAD_POLICY_MEAN_LOAD_HPP
+#define BILBERRYLEAD_POLICY_MEAN_LOAD_HPP
 
 #include "bilberrylead/core/time.hpp"
 
@@ -18,48 +18,51 @@
 /// seconds, and goes by what is usual at its siblings until then. The
 /// siblings are those of one region: where a region is full, a mean over all
 /// of them has requests refused in regions that stand idle.
-class usual_load
+class mean_load
 {
 public:
     /// Starts from a mean run and a number held.
-    usual_load(duration run, double held) : mean_run(run), mean_held(held)
+    mean_load(duration run_time, double held_by_others)
+        : mean_run_time(run_time), mean_held_by_others(held_by_others)
     {
-        assert(run > duration::zero() && held >= 0);
+        assert(run_time > duration::zero() && held_by_others >= 0);
     }
 
     /// An upstream worked so long on a request.
-    void note_run(duration run)
+    void record_run(duration run_time)
     {
         duration const step = std::chrono::duration_cast<duration>(
-            std::chrono::duration<double>(run - this->mean_run) * weight);
-        this->mean_run = std::max<duration>(this->mean_run + step,
-                                            std::chrono::milliseconds(1));
+            std::chrono::duration<double>(run_time - this->mean_run_time) *
+            weight);
+        this->mean_run_time = std::max<duration>(this->mean_run_time + step,
+                                                 std::chrono::milliseconds(1));
     }
 
     /// An upstream holds so many requests of others.
-    void note_held(double held)
+    void record_held_by_others(double held_by_others)
     {
-        this->mean_held += weight * (held - this->mean_held);
+        this->mean_held_by_others +=
+            weight * (held_by_others - this->mean_held_by_others);
     }
 
     /// Mean run; at least 1 ms.
-    duration run() const
+    duration run_time() const
     {
-        return this->mean_run;
+        return this->mean_run_time;
     }
 
     /// Mean number of requests of others that one upstream holds.
-    double held() const
+    double held_by_others() const
     {
-        return this->mean_held;
+        return this->mean_held_by_others;
     }
 
 private:
     /// Weight of the newest: about the last twenty count.
     static constexpr double weight = 0.05;
 
-    duration mean_run;
-    double mean_held;
+    duration mean_run_time;
+    double mean_held_by_others;
 };
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/placement_candidate.hpp
+++ b/bilberrylead/policy/placement_candidate.hpp
@@ -20,11 +20,11 @@
     /// Requests of this entry host that it has not answered yet.
     std::uint32_t in_flight = 0;
     /// Requests of others that it runs or holds, by its reports of late.
-    double others = 0;
+    double held_by_others = 0;
     /// Time that it takes for a request on a free slot; over 0.
     duration service_time = std::chrono::milliseconds(20);
     /// One-way latency to it.
-    duration distance{};
+    duration one_way_latency{};
     /// Handicap: it failed of late, or is cold.
     duration penalty{};
     /// Number of its region: objects have a first upstream in each.
@@ -32,7 +32,7 @@
     /// False if it may get nothing now.
     bool allowed = true;
     /// True if it worked on the request's object of late.
-    bool familiar = false;
+    bool likely_cached = false;
     /// True if the request was sent to it before.
     bool tried = false;
 };
--- a/bilberrylead/policy/placement_verdict.hpp
+++ b/bilberrylead/policy/placement_verdict.hpp
@@ -24,12 +24,12 @@
 };
 
 /// No upstream may get it.
-struct nowhere_to_place
+struct no_upstream_allowed
 {
 };
 
 /// Every upstream is too busy: it would come too late.
-struct no_room_to_place
+struct no_free_capacity
 {
     /// Expected wait at the best upstream.
     duration wait{};
@@ -40,7 +40,7 @@
 
 /// Where a request goes.
 using placement_verdict =
-    std::variant<placed, nowhere_to_place, no_room_to_place>;
+    std::variant<placed, no_upstream_allowed, no_free_capacity>;
 
 } // namespace bilberrylead::policy
 
--- a/bilberrylead/policy/two_choices.hpp
+++ b/bilberrylead/policy/power_of_two_choice.hpp
@@ -1,5 +1,5 @@
-#ifndef BILBERRYLEAD_POLICY_TWO_CHOICES_HPP
-#define BILBERRYLEAD_POLICY_TWO_CHOICES_HPP
+#ifndef BILBERRYLEAD_POLICY_POWER_OF_TWO_CHOICE_HPP
+#define BILBERRYLEAD_POLICY_POWER_OF_TWO_CHOICE_HPP
 
 #include "bilberrylead/policy/random_choice.hpp"
 
@@ -8,7 +8,7 @@
 
 /// Baseline: two upstreams by chance, then the one with fewer requests of
 /// this entry host.
-class two_choices
+class power_of_two_choice
 {
 public:
     /// Picks one; see upstream_choice.
@@ -16,7 +16,7 @@
                                       generator& random) const;
 
 private:
-    random_choice any;
+    random_choice random_pick;
 };
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/random_choice.cpp
+++ b/bilberrylead/policy/random_choice.cpp
@@ -15,7 +15,7 @@
     std::uint32_t seen = 0;
     for (std::size_t index = 0; index < set.upstreams.size(); ++index)
     {
-        if (!set.upstreams[index].takes_work())
+        if (!set.upstreams[index].accepts_work())
         {
             continue;
         }
--- a/bilberrylead/policy/object_memory.hpp
+++ b/bilberrylead/policy/recent_objects.hpp
@@ -1,5 +1,5 @@
-#ifndef BILBERRYLEAD_POLICY_OBJECT_MEMORY_HPP
-#define BILBERRYLEAD_POLICY_OBJECT_MEMORY_HPP
+#ifndef BILBERRYLEAD_POLICY_RECENT_OBJECTS_HPP
+#define BILBERRYLEAD_POLICY_RECENT_OBJECTS_HPP
 
 #include <array>
 #include <cstddef>
@@ -11,35 +11,35 @@
 /// The objects that this entry host had an upstream work on of late: the
 /// upstream has them in its caches, if those hold as many. Fixed memory, no
 /// allocation; the object that was used longest ago gives way.
-class object_memory
+class recent_objects
 {
 public:
     /// The upstream worked on the object.
-    void note(std::uint64_t object)
+    void record(std::uint64_t object)
     {
-        ++this->uses;
+        ++this->use_count;
         std::size_t oldest = 0;
-        for (std::size_t place = 0; place < this->entries.size(); ++place)
+        for (std::size_t index = 0; index < this->entries.size(); ++index)
         {
-            if (this->entries[place].object == object)
+            if (this->entries[index].object == object)
             {
-                this->entries[place].used = this->uses;
+                this->entries[index].last_use = this->use_count;
                 return;
             }
-            if (this->entries[place].used < this->entries[oldest].used)
+            if (this->entries[index].last_use < this->entries[oldest].last_use)
             {
-                oldest = place;
+                oldest = index;
             }
         }
-        this->entries[oldest] = {object, this->uses};
+        this->entries[oldest] = {object, this->use_count};
     }
 
     /// True if it worked on the object of late.
-    bool knows(std::uint64_t object) const
+    bool contains(std::uint64_t object) const
     {
-        for (entry const& each : this->entries)
+        for (entry const& item : this->entries)
         {
-            if (each.object == object && each.used > 0)
+            if (item.object == object && item.last_use > 0)
             {
                 return true;
             }
@@ -54,11 +54,11 @@
     struct entry
     {
         std::uint64_t object = 0;
-        std::uint64_t used = 0;
+        std::uint64_t last_use = 0;
     };
 
     std::array<entry, capacity> entries{};
-    std::uint64_t uses = 0;
+    std::uint64_t use_count = 0;
 };
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/recent_peak.hpp
+++ b/bilberrylead/policy/recent_peak.hpp
@@ -19,35 +19,37 @@
 {
 public:
     /// A peak that counts for `memory` after it was last heard.
-    explicit recent_peak(duration memory) : kept_for(memory)
+    explicit recent_peak(duration window_length) : window(window_length)
     {
     }
 
     /// A count was heard; gives the peak.
-    std::uint64_t note(std::uint64_t count, instant now)
+    std::uint64_t record(std::uint64_t count, instant now)
     {
-        if (count >= this->peak || now - this->heard_at >= this->kept_for)
+        if (count >= this->peak || now - this->peak_at >= this->window)
         {
             // What was heard below the peak meanwhile is the next one.
-            this->peak = std::max(
-                count, now - this->below_at < this->kept_for ? this->below : 0);
-            this->heard_at = now;
-            this->below = 0;
+            this->peak =
+                std::max(count, now - this->lower_peak_at < this->window
+                                    ? this->lower_peak
+                                    : 0);
+            this->peak_at = now;
+            this->lower_peak = 0;
         }
-        else if (count >= this->below)
+        else if (count >= this->lower_peak)
         {
-            this->below = count;
-            this->below_at = now;
+            this->lower_peak = count;
+            this->lower_peak_at = now;
         }
         return this->peak;
     }
 
 private:
-    duration kept_for;
+    duration window;
     std::uint64_t peak = 0;
-    instant heard_at{};
-    std::uint64_t below = 0;
-    instant below_at{};
+    instant peak_at{};
+    std::uint64_t lower_peak = 0;
+    instant lower_peak_at{};
 };
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/region_room.hpp
+++ b/bilberrylead/policy/region_capacity.hpp
@@ -1,11 +1,11 @@
-#ifndef BILBERRYLEAD_POLICY_REGION_ROOM_HPP
-#define BILBERRYLEAD_POLICY_REGION_ROOM_HPP
+#ifndef BILBERRYLEAD_POLICY_REGION_CAPACITY_HPP
+#define BILBERRYLEAD_POLICY_REGION_CAPACITY_HPP
 
 namespace bilberrylead::policy
 {
 
 /// What one region's callers ask of a service, and what room the region has.
-struct region_room
+struct region_capacity
 {
     /// Slots that its callers' requests would hold if all were served; 0 or
     /// more.
--- a/bilberrylead/policy/region_plan.cpp
+++ b/bilberrylead/policy/region_plan.cpp
@@ -11,26 +11,26 @@
 {
 
 /// Demand of each region, filled up to what is expected at least.
-std::vector<double> expected_demands(std::span<region_room const> rooms,
+std::vector<double> expected_demands(std::span<region_capacity const> regions,
                                      region_plan_settings const& settings)
 {
-    double measured = 0;
+    double measured_demand = 0;
     double slots = 0;
     double entry_hosts = 0;
-    for (region_room const& each : rooms)
+    for (region_capacity const& region : regions)
     {
-        measured += each.demand;
-        slots += each.slots;
-        entry_hosts += each.entry_hosts;
+        measured_demand += region.demand;
+        slots += region.slots;
+        entry_hosts += region.entry_hosts;
     }
-    double const missing =
-        std::max(0.0, slots * settings.expected_use - measured);
+    double const missing_demand =
+        std::max(0.0, slots * settings.expected_utilization - measured_demand);
     std::vector<double> demands;
-    for (region_room const& each : rooms)
+    for (region_capacity const& region : regions)
     {
         double const part =
-            entry_hosts > 0 ? each.entry_hosts / entry_hosts : 0.0;
-        demands.push_back(each.demand + missing * part);
+            entry_hosts > 0 ? region.entry_hosts / entry_hosts : 0.0;
+        demands.push_back(region.demand + missing_demand * part);
     }
     return demands;
 }
@@ -38,49 +38,53 @@
 } // namespace
 
 std::vector<std::vector<double>>
-plan_regions(std::span<region_room const> rooms,
+plan_regions(std::span<region_capacity const> regions,
              region_plan_settings const& settings)
 {
-    std::size_t const count = rooms.size();
-    std::vector<double> const demands = expected_demands(rooms, settings);
-    double const demand = std::accumulate(demands.begin(), demands.end(), 0.0);
+    std::size_t const count = regions.size();
+    std::vector<double> const demands = expected_demands(regions, settings);
+    double const total_demand =
+        std::accumulate(demands.begin(), demands.end(), 0.0);
     double slots = 0;
-    for (region_room const& each : rooms)
+    for (region_capacity const& region : regions)
     {
-        slots += each.slots;
+        slots += region.slots;
     }
-    double const room = slots * settings.most_fill;
-    double const served = demand > room && demand > 0 ? room / demand : 1.0;
+    double const capacity = slots * settings.max_utilization;
+    double const served_share = total_demand > capacity && total_demand > 0
+                                    ? capacity / total_demand
+                                    : 1.0;
 
     // What each region lacks, and what it can spare, once its own callers
     // have the part that everybody gets.
-    std::vector<double> lacking(count, 0.0);
+    std::vector<double> shortage(count, 0.0);
     std::vector<double> spare(count, 0.0);
-    double all_spare = 0;
+    double total_spare = 0;
     for (std::size_t region = 0; region < count; ++region)
     {
-        double const wanted = demands[region] * served;
-        double const own = rooms[region].slots * settings.most_fill;
-        lacking[region] = std::max(0.0, wanted - own);
-        spare[region] = std::max(0.0, own - wanted);
-        all_spare += spare[region];
+        double const served_demand = demands[region] * served_share;
+        double const own_capacity =
+            regions[region].slots * settings.max_utilization;
+        shortage[region] = std::max(0.0, served_demand - own_capacity);
+        spare[region] = std::max(0.0, own_capacity - served_demand);
+        total_spare += spare[region];
     }
 
     std::vector<std::vector<double>> shares(count,
                                             std::vector<double>(count, 0.0));
-    for (std::size_t home = 0; home < count; ++home)
+    for (std::size_t local = 0; local < count; ++local)
     {
-        shares[home][home] = 1;
-        if (lacking[home] <= 0 || all_spare <= 0)
+        shares[local][local] = 1;
+        if (shortage[local] <= 0 || total_spare <= 0)
         {
             continue;
         }
-        for (std::size_t other = 0; other < count; ++other)
+        for (std::size_t remote = 0; remote < count; ++remote)
         {
             double const part =
-                lacking[home] * spare[other] / all_spare / demands[home];
-            shares[home][other] += part;
-            shares[home][home] -= part;
+                shortage[local] * spare[remote] / total_spare / demands[local];
+            shares[local][remote] += part;
+            shares[local][local] -= part;
         }
     }
     return shares;
--- a/bilberrylead/policy/region_plan.hpp
+++ b/bilberrylead/policy/region_plan.hpp
@@ -1,8 +1,8 @@
 #ifndef BILBERRYLEAD_POLICY_REGION_PLAN_HPP
 #define BILBERRYLEAD_POLICY_REGION_PLAN_HPP
 
+#include "bilberrylead/policy/region_capacity.hpp"
 #include "bilberrylead/policy/region_plan_settings.hpp"
-#include "bilberrylead/policy/region_room.hpp"
 
 #include <span>
 #include <vector>
@@ -28,7 +28,7 @@
 /// them together lack room, each region's callers get the same part of what
 /// they ask for: the rest is refused at home.
 std::vector<std::vector<double>>
-plan_regions(std::span<region_room const> rooms,
+plan_regions(std::span<region_capacity const> regions,
              region_plan_settings const& settings = {});
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/region_plan_settings.hpp
+++ b/bilberrylead/policy/region_plan_settings.hpp
@@ -13,10 +13,10 @@
     /// and a demand that rises and falls moves few of them: each object that
     /// changes its region has to be learnt there, in a run several times as
     /// long.
-    double expected_use = 0.8;
+    double expected_utilization = 0.8;
     /// Share of a region's slots that is counted on at most; the rest goes to
     /// arrivals that come unevenly.
-    double most_fill = 0.9;
+    double max_utilization = 0.9;
 };
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/region_shares.cpp
+++ b/bilberrylead/policy/region_shares.cpp
@@ -13,62 +13,66 @@
 namespace bilberrylead::policy
 {
 
-region_shares::region_shares(double most_pace) : pace(most_pace)
+region_shares::region_shares(double max_change_per_second)
+    : max_change_per_second(max_change_per_second)
 {
 }
 
-void region_shares::aim(std::vector<region_target> const& target, instant now)
+void region_shares::set_target(std::vector<region_target> const& target,
+                               instant now)
 {
     assert(!target.empty());
-    std::vector<double> reached;
-    std::vector<std::uint64_t> named;
-    for (region_target const& each : target)
+    std::vector<double> new_target;
+    std::vector<std::uint64_t> hashes;
+    for (region_target const& item : target)
     {
-        reached.push_back(each.share);
-        named.push_back(each.region);
+        new_target.push_back(item.share);
+        hashes.push_back(item.region_hash);
     }
-    if (!this->has_sent)
+    if (!this->has_assigned)
     {
-        this->shares = reached;
-        this->followed_at = now;
+        this->shares = new_target;
+        this->updated_at = now;
     }
-    this->shares.resize(reached.size(), 0.0);
-    this->owed.resize(reached.size(), 0.0);
-    this->regions = std::move(named);
-    this->follow(now);
-    this->wanted = std::move(reached);
+    this->shares.resize(new_target.size(), 0.0);
+    this->deficits.resize(new_target.size(), 0.0);
+    this->region_hashes = std::move(hashes);
+    this->advance_shares(now);
+    this->target_shares = std::move(new_target);
 }
 
-void region_shares::follow(instant now)
+void region_shares::advance_shares(instant now)
 {
-    std::chrono::duration<double> const passed = now - this->followed_at;
-    this->followed_at = now;
-    if (this->wanted.size() != this->shares.size())
+    std::chrono::duration<double> const elapsed = now - this->updated_at;
+    this->updated_at = now;
+    if (this->target_shares.size() != this->shares.size())
     {
         return;
     }
-    double gap = 0;
+    double total_decrease = 0;
     for (std::size_t region = 0; region < this->shares.size(); ++region)
     {
-        gap += std::max(0.0, this->shares[region] - this->wanted[region]);
+        total_decrease +=
+            std::max(0.0, this->shares[region] - this->target_shares[region]);
     }
-    if (gap <= 0)
+    if (total_decrease <= 0)
     {
         return;
     }
-    double const step = std::min(1.0, this->pace * passed.count() / gap);
+    double const step = std::min(1.0, this->max_change_per_second *
+                                          elapsed.count() / total_decrease);
     for (std::size_t region = 0; region < this->shares.size(); ++region)
     {
         this->shares[region] +=
-            step * (this->wanted[region] - this->shares[region]);
+            step * (this->target_shares[region] - this->shares[region]);
     }
 }
 
-std::size_t region_shares::furthest_behind() const
+std::size_t region_shares::region_furthest_behind() const
 {
     return static_cast<std::size_t>(
-        std::max_element(this->owed.begin(), this->owed.end()) -
-        this->owed.begin());
+        std::max_element(this->deficits.begin(), this->deficits.end()) -
+        this->deficits.begin());
 }
 
 std::size_t region_shares::region_of(std::uint64_t object) const
@@ -77,44 +81,45 @@
     // its share, the same on every host; the earliest has the object. A
     // region that is ahead is passed over: the object goes to its next one,
     // which soon knows it as well.
-    std::optional<std::size_t> best;
+    std::optional<std::size_t> earliest_region;
     double earliest = std::numeric_limits<double>::infinity();
     for (std::size_t region = 0; region < this->shares.size(); ++region)
     {
-        bool const is_ahead = this->owed[region] - 1 < -most_owed;
+        bool const is_ahead = this->deficits[region] - 1 < -max_lead;
         if (is_ahead || this->shares[region] <= 0)
         {
             continue;
         }
-        double const drawn = generator(object ^ this->regions[region]).unit();
-        double const time = -std::log(1 - drawn) / this->shares[region];
+        double const uniform =
+            generator(object ^ this->region_hashes[region]).unit();
+        double const time = -std::log(1 - uniform) / this->shares[region];
         if (time < earliest)
         {
-            best = region;
+            earliest_region = region;
             earliest = time;
         }
     }
     // All that have a share are ahead while others, which just lost theirs,
     // are still behind.
-    return best.value_or(this->furthest_behind());
+    return earliest_region.value_or(this->region_furthest_behind());
 }
 
-std::size_t region_shares::next(std::uint64_t object, instant now,
-                                generator& random)
+std::size_t region_shares::next_region(std::uint64_t object, instant now,
+                                       generator& random)
 {
     assert(!this->shares.empty());
-    this->follow(now);
-    this->has_sent = true;
+    this->advance_shares(now);
+    this->has_assigned = true;
     for (std::size_t region = 0; region < this->shares.size(); ++region)
     {
-        this->owed[region] += this->shares[region];
+        this->deficits[region] += this->shares[region];
     }
     // Without an object the region that is furthest behind would begin
     // alike on every host.
-    std::size_t const chosen =
+    std::size_t const region =
         this->region_of(object == 0 ? random.next() : object);
-    this->owed[chosen] -= 1;
-    return chosen;
+    this->deficits[region] -= 1;
+    return region;
 }
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/region_shares.hpp
+++ b/bilberrylead/policy/region_shares.hpp
@@ -25,13 +25,13 @@
 public:
     /// Shares that move by at most `pace` a second, summed over the regions
     /// that lose; 0 to 1.
-    explicit region_shares(double pace);
+    explicit region_shares(double max_change_per_second);
 
     /// Sets what is to be reached: a share for each region, always in the
     /// same order here; they add up to 1. Taken over at once until the first
     /// request is sent; from then on a region that is new gets its share at
     /// the same pace as any other.
-    void aim(std::vector<region_target> const& target, instant now);
+    void set_target(std::vector<region_target> const& target, instant now);
 
     /// The region of the next request, about an object (0: about none, so
     /// that `random` draws one).
@@ -41,7 +41,8 @@
     /// moves, hardly any object moves but those that the region gains or
     /// loses. Over any few requests each region gets its share, so that
     /// chance does not move callers: a region that is ahead is passed over.
-    std::size_t next(std::uint64_t object, instant now, generator& random);
+    std::size_t next_region(std::uint64_t object, instant now,
+                            generator& random);
 
     /// The shares at work; empty before the first aim.
     std::vector<double> const& current() const
@@ -51,19 +52,19 @@
 
 private:
     /// Requests that a region may be ahead of its share.
-    static constexpr double most_owed = 1.5;
+    static constexpr double max_lead = 1.5;
 
-    void follow(instant now);
-    std::size_t furthest_behind() const;
+    void advance_shares(instant now);
+    std::size_t region_furthest_behind() const;
     std::size_t region_of(std::uint64_t object) const;
 
-    double pace;
-    bool has_sent = false;
-    std::vector<std::uint64_t> regions;
+    double max_change_per_second;
+    bool has_assigned = false;
+    std::vector<std::uint64_t> region_hashes;
     std::vector<double> shares;
-    std::vector<double> wanted;
-    std::vector<double> owed;
-    instant followed_at{};
+    std::vector<double> target_shares;
+    std::vector<double> deficits;
+    instant updated_at{};
 };
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/region_target.hpp
+++ b/bilberrylead/policy/region_target.hpp
@@ -11,7 +11,7 @@
 {
     /// Hash of the region's name: objects are spread over regions by it, the
     /// same way on every entry host and after every restart.
-    std::uint64_t region = 0;
+    std::uint64_t region_hash = 0;
     /// 0 to 1; those of all regions add up to 1.
     double share = 0;
 };
--- a/bilberrylead/policy/return_time.cpp
+++ b/bilberrylead/policy/return_time.cpp
@@ -11,9 +11,9 @@
 duration return_time(duration until_room, placement_settings const& settings,
                      generator& random)
 {
-    double const spread = settings.latest_return - settings.soonest_return;
-    return scaled(std::max(until_room, settings.least_retry_after),
-                  settings.soonest_return + spread * random.unit());
+    double const spread = settings.max_retry_factor - settings.min_retry_factor;
+    return scaled(std::max(until_room, settings.min_time_until_capacity),
+                  settings.min_retry_factor + spread * random.unit());
 }
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/round_robin_choice.cpp
+++ b/bilberrylead/policy/round_robin_choice.cpp
@@ -11,7 +11,7 @@
     for (std::size_t step = 1; step <= count; ++step)
     {
         std::size_t const index = (this->last + step) % count;
-        if (set.upstreams[index].takes_work())
+        if (set.upstreams[index].accepts_work())
         {
             this->last = index;
             return index;
--- a/bilberrylead/policy/object_of_route.hpp
+++ b/bilberrylead/policy/route_scoped_object.hpp
@@ -1,5 +1,5 @@
-#ifndef BILBERRYLEAD_POLICY_OBJECT_OF_ROUTE_HPP
-#define BILBERRYLEAD_POLICY_OBJECT_OF_ROUTE_HPP
+#ifndef BILBERRYLEAD_POLICY_ROUTE_SCOPED_OBJECT_HPP
+#define BILBERRYLEAD_POLICY_ROUTE_SCOPED_OBJECT_HPP
 
 #include "bilberrylead/policy/generator.hpp"
 
@@ -18,12 +18,13 @@
 /// there, and makes the upstream look slow. Of the runs of a rare kind 64 of
 /// 339 were slow on upstreams that knew the name from some route, and 1 of
 /// 268 on those that knew it from the same route.
-constexpr std::uint64_t object_of_route(std::uint64_t route,
-                                        std::uint64_t named)
+constexpr std::uint64_t route_scoped_object(std::uint64_t route,
+                                            std::uint64_t caller_object)
 {
     // Neighbouring hashes must not lead to neighbouring objects; 0 is kept
     // for "none".
-    return named == 0 ? 0 : generator(route ^ named).next() | 1U;
+    return caller_object == 0 ? 0
+                              : generator(route ^ caller_object).next() | 1U;
 }
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/service_time_estimate.cpp
+++ b/bilberrylead/policy/service_time_estimate.cpp
@@ -11,48 +11,50 @@
 {
 
 constexpr double buckets_per_octave = 4;
-constexpr double lowest_ns = 64'000;
+constexpr double first_bucket_end_ns = 64'000;
 /// Samples after which all counts are halved, so that an upstream that got
 /// slow shows within a few thousand answers.
-constexpr std::uint32_t samples_kept = 8192;
+constexpr std::uint32_t max_histogram_samples = 8192;
 /// Least weight of one sample in the mean: about the last thousand count,
 /// two to three seconds of a zone's work. Zones compare their waits by their
 /// means; over the last hundred the mean strays by a tenth, which at a wait
 /// of 150 ms is more than what a move within the region costs.
-constexpr double mean_weight = 0.001;
+constexpr double min_mean_weight = 0.001;
 /// Samples that the first guess stands for.
-constexpr std::uint32_t guess_weight = 4;
+constexpr std::uint32_t initial_sample_count = 4;
 
 } // namespace
 
-service_time_estimate::service_time_estimate(duration first_guess)
-    : mean_ns(static_cast<double>(first_guess.count()))
+service_time_estimate::service_time_estimate(duration initial_estimate)
+    : mean_ns(static_cast<double>(initial_estimate.count()))
 {
-    this->buckets[bucket_of(first_guess)] = guess_weight;
-    this->total = guess_weight;
+    this->buckets[bucket_of(initial_estimate)] = initial_sample_count;
+    this->total = initial_sample_count;
 }
 
 std::size_t service_time_estimate::bucket_of(duration sample)
 {
     double const ns = static_cast<double>(sample.count());
-    if (ns <= lowest_ns)
+    if (ns <= first_bucket_end_ns)
     {
         return 0;
     }
-    double const place = std::log2(ns / lowest_ns) * buckets_per_octave;
-    return std::min(static_cast<std::size_t>(place) + 1, bucket_count - 1);
+    double const position =
+        std::log2(ns / first_bucket_end_ns) * buckets_per_octave;
+    return std::min(static_cast<std::size_t>(position) + 1, bucket_count - 1);
 }
 
 void service_time_estimate::add(duration sample)
 {
     ++this->samples;
     double const weight = std::max(
-        mean_weight, 1.0 / static_cast<double>(this->samples + guess_weight));
+        min_mean_weight,
+        1.0 / static_cast<double>(this->samples + initial_sample_count));
     this->mean_ns +=
         weight * (static_cast<double>(sample.count()) - this->mean_ns);
     ++this->buckets[bucket_of(sample)];
     ++this->total;
-    if (this->total < samples_kept)
+    if (this->total < max_histogram_samples)
     {
         return;
     }
@@ -70,21 +72,22 @@
         std::max(std::int64_t{1}, static_cast<std::int64_t>(this->mean_ns)));
 }
 
-duration service_time_estimate::quantile(double share) const
+duration service_time_estimate::quantile(double fraction) const
 {
-    double const wanted = share * static_cast<double>(this->total);
-    double seen = 0;
+    double const target_count = fraction * static_cast<double>(this->total);
+    double counted = 0;
     std::size_t bucket = 0;
     for (; bucket + 1 < bucket_count; ++bucket)
     {
-        seen += this->buckets[bucket];
-        if (seen >= wanted)
+        counted += this->buckets[bucket];
+        if (counted >= target_count)
         {
             break;
         }
     }
     double const octaves = static_cast<double>(bucket) / buckets_per_octave;
-    return duration(static_cast<std::int64_t>(lowest_ns * std::exp2(octaves)));
+    return duration(
+        static_cast<std::int64_t>(first_bucket_end_ns * std::exp2(octaves)));
 }
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/service_time_estimate.hpp
+++ b/bilberrylead/policy/service_time_estimate.hpp
@@ -19,7 +19,7 @@
 public:
     /// Starts from a guess that counts as four samples.
     explicit service_time_estimate(
-        duration first_guess = std::chrono::milliseconds(20));
+        duration initial_estimate = std::chrono::milliseconds(20));
 
     /// Takes one measured service time.
     void add(duration sample);
@@ -29,7 +29,7 @@
 
     /// The time that `share` (0 to 1) of the samples of late stayed under,
     /// rounded up to the bucket's end (under a fifth too much).
-    duration quantile(double share) const;
+    duration quantile(double fraction) const;
 
 private:
     /// Four buckets to a factor of two, from 64 microseconds to 17 minutes.
--- a/bilberrylead/policy/slot_owner.cpp
+++ b/bilberrylead/policy/slot_owner.cpp
@@ -21,7 +21,7 @@
 } // namespace
 
 slot_owner::slot_owner(std::vector<std::uint32_t> const& slots,
-                       std::vector<neighbour_zone> const& zones,
+                       std::vector<nearby_zone> const& zones,
                        slot_owner_settings const& settings)
     : settings(settings), table(slots, settings.slots),
       queue(settings.admission), zones(zones)
@@ -171,11 +171,11 @@
 
 void slot_owner::on(zone_load_reported const& event, instant now)
 {
-    neighbour_zone& zone = this->zones.at(event.zone);
-    zone.usable = event.usable;
+    nearby_zone& zone = this->zones.at(event.zone);
+    zone.usable_slots = event.usable;
     zone.expected_wait = event.expected_wait;
-    zone.seen_at = now;
-    zone.moved_since = 0;
+    zone.reported_at = now;
+    zone.moved_since_report = 0;
     this->move_waiting(now);
 }
 
@@ -218,22 +218,24 @@
     duration shortest = wait_here - this->settings.move_margin;
     for (std::uint32_t index = 0; index < this->zones.size(); ++index)
     {
-        neighbour_zone const& zone = this->zones[index];
-        bool const known = zone.usable > 0 &&
-                           now - zone.seen_at < this->settings.load_lifetime;
+        nearby_zone const& zone = this->zones[index];
+        bool const known =
+            zone.usable_slots > 0 &&
+            now - zone.reported_at < this->settings.load_lifetime;
         if (!known)
         {
             continue;
         }
         // What was moved there since its report is in front of this one.
         duration const there =
-            2 * zone.distance + zone.expected_wait +
-            wait_behind(zone.moved_since, this->table.mean_time(), zone.usable);
+            2 * zone.one_way_latency + zone.expected_wait +
+            wait_behind(zone.moved_since_report, this->table.mean_time(),
+                        zone.usable_slots);
         // A distant zone only if it has room: its report is old, and when
         // all zones fill up together each would think the other is better.
-        bool const distant = 2 * zone.distance > this->table.mean_time();
-        if (distant &&
-            there - 2 * zone.distance > this->settings.longest_distant_wait)
+        bool const distant = 2 * zone.one_way_latency > this->table.mean_time();
+        if (distant && there - 2 * zone.one_way_latency >
+                           this->settings.longest_distant_wait)
         {
             continue;
         }
@@ -330,7 +332,7 @@
 
 void slot_owner::move(waiting_request const& request, std::uint32_t zone)
 {
-    ++this->zones[zone].moved_since;
+    ++this->zones[zone].moved_since_report;
     this->effects.push_back(request_moved{request.host, request.ticket, zone});
 }
 
--- a/bilberrylead/policy/slot_owner.hpp
+++ b/bilberrylead/policy/slot_owner.hpp
@@ -2,7 +2,7 @@
 #define BILBERRYLEAD_POLICY_SLOT_OWNER_HPP
 
 #include "bilberrylead/policy/admission_queue.hpp"
-#include "bilberrylead/policy/neighbour_zone.hpp"
+#include "bilberrylead/policy/nearby_zone.hpp"
 #include "bilberrylead/policy/slot_owner_effect.hpp"
 #include "bilberrylead/policy/slot_owner_event.hpp"
 #include "bilberrylead/policy/slot_owner_settings.hpp"
@@ -36,7 +36,7 @@
 public:
     /// Makes an owner of upstreams with these slots, without ownership yet.
     slot_owner(std::vector<std::uint32_t> const& slots,
-               std::vector<neighbour_zone> const& zones,
+               std::vector<nearby_zone> const& zones,
                slot_owner_settings const& settings = {});
 
     /// Takes one event. What it returns is valid until the next call.
@@ -88,7 +88,7 @@
     slot_owner_settings settings;
     slot_table table;
     admission_queue queue;
-    std::vector<neighbour_zone> zones;
+    std::vector<nearby_zone> zones;
     std::vector<slot_owner_effect> effects;
     std::uint64_t epoch = 0;
     instant owner_until;
--- a/bilberrylead/policy/upstream_estimate.cpp
+++ b/bilberrylead/policy/upstream_estimate.cpp
@@ -21,69 +21,75 @@
 /// Ages at which a report and a run count for a third: several service
 /// times for what others hold; long enough for slowness that a slow
 /// upstream is not tried by every second request.
-constexpr std::chrono::duration<double> report_memory{1.0};
-constexpr std::chrono::duration<double> run_memory{4.0};
-constexpr double least_slowness = 0.25;
-constexpr double most_slowness = 16;
+constexpr std::chrono::duration<double> report_time_constant{1.0};
+constexpr std::chrono::duration<double> run_time_constant{4.0};
+constexpr double min_slowdown = 0.25;
+constexpr double max_slowdown = 16;
 /// What a full upstream holds beyond its slots, at least.
-constexpr double full_excess = 1;
+constexpr double min_excess_when_full = 1;
 
-double trust(instant since, instant now, std::chrono::duration<double> memory)
+double decay_weight(instant recorded_at, instant now,
+                    std::chrono::duration<double> time_constant)
 {
-    std::chrono::duration<double> const age = now - since;
-    return std::exp(-std::max(0.0, age.count()) / memory.count());
+    std::chrono::duration<double> const age = now - recorded_at;
+    return std::exp(-std::max(0.0, age.count()) / time_constant.count());
 }
 
 } // namespace
 
-void upstream_estimate::ran(duration time, duration usual, instant now)
+void upstream_estimate::record_run(duration run_time, duration sibling_mean,
+                                   instant now)
 {
-    assert(usual > duration::zero());
-    double const ratio = std::clamp(static_cast<double>(time.count()) /
-                                        static_cast<double>(usual.count()),
-                                    least_slowness, most_slowness);
-    double const before = this->slowness(now);
-    this->slow = before + run_weight * (ratio - before);
-    this->ran_at = now;
+    assert(sibling_mean > duration::zero());
+    double const ratio =
+        std::clamp(static_cast<double>(run_time.count()) /
+                       static_cast<double>(sibling_mean.count()),
+                   min_slowdown, max_slowdown);
+    double const previous = this->slowdown(now);
+    this->mean_slowdown = previous + run_weight * (ratio - previous);
+    this->last_run_at = now;
     this->has_run = true;
 }
 
-void upstream_estimate::reported(std::uint32_t held, std::uint32_t own,
-                                 instant now)
+void upstream_estimate::record_report(std::uint32_t held, std::uint32_t own,
+                                      instant now)
 {
-    double const others_now = held > own ? held - own : 0;
-    this->held_by_others =
-        this->is_reported
-            ? this->held_by_others +
-                  report_weight * (others_now - this->held_by_others)
-            : others_now;
-    this->reported_at = now;
-    this->is_reported = true;
+    double const held_by_others_now = held > own ? held - own : 0;
+    this->mean_held_by_others =
+        this->has_report ? this->mean_held_by_others +
+                               report_weight * (held_by_others_now -
+                                                this->mean_held_by_others)
+                         : held_by_others_now;
+    this->last_report_at = now;
+    this->has_report = true;
 }
 
-void upstream_estimate::turned_away(std::uint32_t slots, std::uint32_t own,
-                                    instant now)
+void upstream_estimate::record_refusal(std::uint32_t slots, std::uint32_t own,
+                                       instant now)
 {
-    double const full = slots + full_excess - own;
-    this->held_by_others = std::max({this->held_by_others, full, 0.0});
-    this->reported_at = now;
-    this->is_reported = true;
+    double const full = slots + min_excess_when_full - own;
+    this->mean_held_by_others =
+        std::max({this->mean_held_by_others, full, 0.0});
+    this->last_report_at = now;
+    this->has_report = true;
 }
 
-double upstream_estimate::others(double usual, instant now) const
+double upstream_estimate::held_by_others(double sibling_mean, instant now) const
 {
-    if (!this->is_reported)
+    if (!this->has_report)
     {
-        return usual;
+        return sibling_mean;
     }
-    return usual + trust(this->reported_at, now, report_memory) *
-                       (this->held_by_others - usual);
+    return sibling_mean +
+           decay_weight(this->last_report_at, now, report_time_constant) *
+               (this->mean_held_by_others - sibling_mean);
 }
 
-double upstream_estimate::slowness(instant now) const
+double upstream_estimate::slowdown(instant now) const
 {
     return this->has_run
-               ? 1.0 + trust(this->ran_at, now, run_memory) * (this->slow - 1.0)
+               ? 1.0 + decay_weight(this->last_run_at, now, run_time_constant) *
+                           (this->mean_slowdown - 1.0)
                : 1.0;
 }
 
--- a/bilberrylead/policy/upstream_estimate.hpp
+++ b/bilberrylead/policy/upstream_estimate.hpp
@@ -18,26 +18,26 @@
 public:
     /// It worked so long on a request, where its siblings usually need
     /// `usual` (over 0).
-    void ran(duration time, duration usual, instant now);
+    void record_run(duration run_time, duration sibling_mean, instant now);
 
     /// It holds so many requests in all, `own` of them from this host.
-    void reported(std::uint32_t held, std::uint32_t own, instant now);
+    void record_report(std::uint32_t held, std::uint32_t own, instant now);
 
     /// It turned a request away: it is full, whatever it said before.
-    void turned_away(std::uint32_t slots, std::uint32_t own, instant now);
+    void record_refusal(std::uint32_t slots, std::uint32_t own, instant now);
 
     /// Requests of others that it holds, where its siblings hold `usual`.
-    double others(double usual, instant now) const;
+    double held_by_others(double sibling_mean, instant now) const;
 
     /// How many times slower than its siblings it is, 0.25 to 16.
-    double slowness(instant now) const;
+    double slowdown(instant now) const;
 
 private:
-    double held_by_others = 0;
-    double slow = 1;
-    instant reported_at{};
-    instant ran_at{};
-    bool is_reported = false;
+    double mean_held_by_others = 0;
+    double mean_slowdown = 1;
+    instant last_report_at{};
+    instant last_run_at{};
+    bool has_report = false;
     bool has_run = false;
 };
 
--- a/bilberrylead/policy/upstream_health.cpp
+++ b/bilberrylead/policy/upstream_health.cpp
@@ -20,7 +20,7 @@
 
 /// An event with the time it happened at.
 template <class Event>
-struct timed
+struct timed_event
 {
     Event event;
     instant now;
@@ -39,7 +39,7 @@
     std::uint32_t slots = 1;
     std::uint32_t failures = 0;
     std::uint32_t answers = 0;
-    duration pause{};
+    duration ejection_time{};
     instant ejected_at;
 
     struct healthy : front::state<>
@@ -63,24 +63,24 @@
         bool operator()(Event const& failed, Machine& machine, From&, To&)
         {
             return machine.failures + 1 >= machine.settings.failures_to_eject &&
-                   failed.event.room_without_it;
+                   failed.event.others_have_capacity;
         }
     };
-    struct pause_over
+    struct ejection_over
     {
         template <class Event, class Machine, class From, class To>
         bool operator()(Event const& event, Machine& machine, From&, To&)
         {
-            return event.now - machine.ejected_at >= machine.pause;
+            return event.now - machine.ejected_at >= machine.ejection_time;
         }
     };
-    struct all_slots_earned
+    struct all_slots_restored
     {
         template <class Event, class Machine, class From, class To>
         bool operator()(Event const&, Machine& machine, From&, To&)
         {
             return machine.answers + 1 >=
-                   machine.slots * machine.settings.answers_for_a_slot;
+                   machine.slots * machine.settings.answers_per_slot;
         }
     };
 
@@ -101,17 +101,17 @@
             ++machine.answers;
         }
     };
-    struct trust_again
+    struct become_healthy
     {
         template <class Event, class Machine, class From, class To>
         void operator()(Event const&, Machine& machine, From&, To&)
         {
             machine.failures = 0;
             machine.answers = 0;
-            machine.pause = machine.settings.first_pause;
+            machine.ejection_time = machine.settings.base_ejection_time;
         }
     };
-    struct start_pause
+    struct start_ejection
     {
         template <class Event, class Machine, class From, class To>
         void operator()(Event const& event, Machine& machine, From&, To&)
@@ -119,14 +119,14 @@
             machine.ejected_at = event.now;
         }
     };
-    struct lengthen_pause
+    struct extend_ejection
     {
         template <class Event, class Machine, class From, class To>
         void operator()(Event const& event, Machine& machine, From&, To&)
         {
             machine.ejected_at = event.now;
-            machine.pause =
-                std::min(machine.pause * 2, machine.settings.longest_pause);
+            machine.ejection_time = std::min(
+                machine.ejection_time * 2, machine.settings.max_ejection_time);
         }
     };
     struct start_probing
@@ -139,11 +139,11 @@
         }
     };
 
-    using answered = timed<upstream_answered>;
-    using failed = timed<upstream_failed>;
-    using checked = timed<health_checked>;
-    using short_of_room = timed<room_ran_out>;
-    using started = timed<upstream_started>;
+    using answered = timed_event<upstream_answered>;
+    using failed = timed_event<upstream_failed>;
+    using elapsed = timed_event<health_timer_elapsed>;
+    using exhausted = timed_event<capacity_exhausted>;
+    using started = timed_event<upstream_started>;
 
     template <class From, class Event, class To, class Action,
               class Guard = front::none>
@@ -154,14 +154,15 @@
     struct transition_table
         : boost::mpl::vector<
               row<healthy, failed, suspected, count_failure>,
-              row<suspected, answered, healthy, trust_again>,
+              row<suspected, answered, healthy, become_healthy>,
               row<suspected, failed, front::none, count_failure>,
-              row<suspected, failed, ejected, start_pause, enough_failures>,
-              row<ejected, checked, probing, start_probing, pause_over>,
-              row<ejected, short_of_room, probing, start_probing>,
-              row<probing, failed, ejected, lengthen_pause>,
+              row<suspected, failed, ejected, start_ejection, enough_failures>,
+              row<ejected, elapsed, probing, start_probing, ejection_over>,
+              row<ejected, exhausted, probing, start_probing>,
+              row<probing, failed, ejected, extend_ejection>,
               row<probing, answered, front::none, count_answer>,
-              row<probing, answered, healthy, trust_again, all_slots_earned>,
+              row<probing, answered, healthy, become_healthy,
+                  all_slots_restored>,
               row<healthy, started, probing, start_probing>,
               row<suspected, started, probing, start_probing>,
               row<ejected, started, probing, start_probing>,
@@ -180,12 +181,12 @@
 
 bool may_eject(std::uint32_t slots, std::uint32_t usable, double in_use)
 {
-    constexpr double largest_use = 0.9;
+    constexpr double max_utilization = 0.9;
     if (slots >= usable)
     {
         return false;
     }
-    return in_use <= largest_use * (usable - slots);
+    return in_use <= max_utilization * (usable - slots);
 }
 
 struct upstream_health::life_cycle
@@ -200,7 +201,7 @@
     assert(slots > 0);
     this->cycle->machine.settings = settings;
     this->cycle->machine.slots = slots;
-    this->cycle->machine.pause = settings.first_pause;
+    this->cycle->machine.ejection_time = settings.base_ejection_time;
     this->cycle->machine.start();
 }
 
@@ -213,10 +214,11 @@
                                            instant now)
 {
     std::visit(
-        [this, now](auto const& what)
+        [this, now](auto const& event_value)
         {
-            using event_type = std::decay_t<decltype(what)>;
-            this->cycle->machine.process_event(timed<event_type>{what, now});
+            using event_type = std::decay_t<decltype(event_value)>;
+            this->cycle->machine.process_event(
+                timed_event<event_type>{event_value, now});
         },
         event);
     return this->condition();
@@ -238,7 +240,7 @@
     case upstream_condition::probing:
         return std::min(machine.slots,
                         1 + machine.answers /
-                                machine.settings.answers_for_a_slot);
+                                machine.settings.answers_per_slot);
     case upstream_condition::healthy:
     case upstream_condition::suspected:
         break;
--- a/bilberrylead/policy/upstream_health.hpp
+++ b/bilberrylead/policy/upstream_health.hpp
@@ -23,17 +23,17 @@
 {
     /// True if the other upstreams have room for the load without it. See
     /// may_eject.
-    bool room_without_it = true;
+    bool others_have_capacity = true;
 };
 
 /// Time went by; send it before each choice, or on a timer.
-struct health_checked
+struct health_timer_elapsed
 {
 };
 
 /// The load needs every slot there is: an ejected upstream is tried again
 /// at once.
-struct room_ran_out
+struct capacity_exhausted
 {
 };
 
@@ -44,8 +44,8 @@
 
 /// What happens to an upstream's health.
 using health_event =
-    std::variant<upstream_answered, upstream_failed, health_checked,
-                 room_ran_out, upstream_started>;
+    std::variant<upstream_answered, upstream_failed, health_timer_elapsed,
+                 capacity_exhausted, upstream_started>;
 
 /// True if an upstream with `slots` can be spared, while `usable` slots
 /// (its own included) carry `in_use` requests on average. A tenth of what
--- a/bilberrylead/policy/upstream_health_settings.hpp
+++ b/bilberrylead/policy/upstream_health_settings.hpp
@@ -17,12 +17,12 @@
     std::uint32_t failures_to_eject = 3;
     /// How long an ejected upstream gets no work; doubles each time that
     /// its return fails. Ten probes' time.
-    duration first_pause = std::chrono::milliseconds(500);
+    duration base_ejection_time = std::chrono::milliseconds(500);
     /// Longest such pause, so that a repaired upstream is back in seconds.
-    duration longest_pause = std::chrono::seconds(8);
+    duration max_ejection_time = std::chrono::seconds(8);
     /// Answers in a row for each further slot on its return: a cold start
     /// meets one request at a time until it has answered some.
-    std::uint32_t answers_for_a_slot = 5;
+    std::uint32_t answers_per_slot = 5;
 };
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/upstream_placement.cpp
+++ b/bilberrylead/policy/upstream_placement.cpp
@@ -14,108 +14,115 @@
 
 /// Mixes an object with an upstream; the largest result is the object's
 /// first upstream.
-std::uint64_t rank(std::uint64_t object, std::uint64_t upstream)
+std::uint64_t rendezvous_weight(std::uint64_t object, std::uint64_t upstream)
 {
     return generator(object ^ upstream).next();
 }
 
 } // namespace
 
-upstream_placement::upstream_placement(placement_settings const& chosen)
-    : settings(chosen)
+upstream_placement::upstream_placement(placement_settings const& settings)
+    : settings(settings)
 {
 }
 
 duration upstream_placement::expected_wait(placement_candidate const& candidate)
 {
     double const held =
-        static_cast<double>(candidate.in_flight) + candidate.others;
+        static_cast<double>(candidate.in_flight) + candidate.held_by_others;
     double const excess = held + 1.0 - candidate.slots;
     return excess <= 0
                ? duration::zero()
                : scaled(candidate.service_time, excess / candidate.slots);
 }
 
-upstream_placement::favourites upstream_placement::favourites_of(
+upstream_placement::preferred_upstreams
+upstream_placement::find_preferred_upstreams(
     std::span<placement_candidate const> candidates,
-    placement_question const& question, std::uint32_t region)
+    placement_request const& request, std::uint32_t region)
 {
-    favourites found;
-    std::uint64_t first_rank = 0;
-    std::uint64_t second_rank = 0;
+    preferred_upstreams preferred;
+    std::uint64_t first_weight = 0;
+    std::uint64_t second_weight = 0;
     for (std::size_t index = 0; index < candidates.size(); ++index)
     {
-        placement_candidate const& each = candidates[index];
-        if (!each.allowed || each.region != region)
+        placement_candidate const& candidate = candidates[index];
+        if (!candidate.allowed || candidate.region != region)
         {
             continue;
         }
-        std::uint64_t const own = rank(question.object, each.hash);
-        if (!found.first.has_value() || own > first_rank)
+        std::uint64_t const weight =
+            rendezvous_weight(request.object, candidate.hash);
+        if (!preferred.first.has_value() || weight > first_weight)
         {
-            found.second = found.first;
-            second_rank = first_rank;
-            found.first = index;
-            first_rank = own;
+            preferred.second = preferred.first;
+            second_weight = first_weight;
+            preferred.first = index;
+            first_weight = weight;
         }
-        else if (!found.second.has_value() || own > second_rank)
+        else if (!preferred.second.has_value() || weight > second_weight)
         {
-            found.second = index;
-            second_rank = own;
+            preferred.second = index;
+            second_weight = weight;
         }
     }
-    return found;
+    return preferred;
 }
 
 double upstream_placement::run_factor(placement_candidate const& candidate,
                                       std::size_t index,
-                                      favourites const& known,
-                                      placement_question const& question) const
+                                      preferred_upstreams const& preferred,
+                                      placement_request const& request) const
 {
     // Other entry hosts send the object to its first upstream as well.
-    if (question.object == 0 || candidate.familiar || known.first == index)
+    if (request.object == 0 || candidate.likely_cached ||
+        preferred.first == index)
     {
         return 1;
     }
-    return known.second == index ? this->settings.second_factor
-                                 : this->settings.unfamiliar_factor;
+    return preferred.second == index ? this->settings.second_choice_run_factor
+                                     : this->settings.uncached_run_factor;
 }
 
 placement_verdict
 upstream_placement::place(std::span<placement_candidate const> candidates,
-                          placement_question const& question,
+                          placement_request const& request,
                           generator& random) const
 {
-    bool const has_region =
-        std::any_of(candidates.begin(), candidates.end(),
-                    [&question](placement_candidate const& each)
-                    {
-                        return each.allowed && each.region == question.region;
-                    });
+    bool const has_region = std::any_of(
+        candidates.begin(), candidates.end(),
+        [&request](placement_candidate const& candidate)
+        {
+            return candidate.allowed && candidate.region == request.region;
+        });
     std::optional<placed> best;
-    favourites known;
-    std::optional<std::uint32_t> known_region;
+    preferred_upstreams preferred;
+    std::optional<std::uint32_t> preferred_region;
     std::uint32_t ties = 0;
     for (std::size_t index = 0; index < candidates.size(); ++index)
     {
-        placement_candidate const& each = candidates[index];
-        if (!each.allowed || (has_region && each.region != question.region))
+        placement_candidate const& candidate = candidates[index];
+        if (!candidate.allowed ||
+            (has_region && candidate.region != request.region))
         {
             continue;
         }
-        if (known_region != each.region)
+        if (preferred_region != candidate.region)
         {
-            known_region = each.region;
-            known = favourites_of(candidates, question, each.region);
+            preferred_region = candidate.region;
+            preferred =
+                find_preferred_upstreams(candidates, request, candidate.region);
         }
-        duration const wait = expected_wait(each);
-        double const factor = this->run_factor(each, index, known, question);
-        duration const run = scaled(each.service_time, factor);
-        duration completion = 2 * each.distance + wait + run + each.penalty;
-        if (each.tried)
+        duration const wait = expected_wait(candidate);
+        double const factor =
+            this->run_factor(candidate, index, preferred, request);
+        duration const run = scaled(candidate.service_time, factor);
+        duration completion =
+            2 * candidate.one_way_latency + wait + run + candidate.penalty;
+        if (candidate.tried)
         {
             // Another upstream first, this one before a refusal.
-            completion += question.to_deadline;
+            completion += request.time_to_deadline;
         }
         if (best.has_value() && completion > best->completion)
         {
@@ -130,26 +137,27 @@
     }
     if (!best.has_value())
     {
-        return nowhere_to_place{};
+        return no_upstream_allowed{};
     }
-    placement_candidate const& chosen = candidates[best->index];
-    if (chosen.tried)
+    placement_candidate const& best_candidate = candidates[best->index];
+    if (best_candidate.tried)
     {
-        best->completion -= question.to_deadline;
+        best->completion -= request.time_to_deadline;
     }
-    duration const rest = best->completion - best->wait;
-    duration const borne =
-        std::max(question.to_aim - rest,
-                 scaled(chosen.service_time, this->settings.least_wait_share));
+    duration const time_besides_waiting = best->completion - best->wait;
+    duration const tolerated_wait =
+        std::max(request.time_to_target - time_besides_waiting,
+                 scaled(best_candidate.service_time,
+                        this->settings.min_tolerated_wait_share));
     bool const too_late =
         best->completion >
-        scaled(question.to_deadline, this->settings.deadline_share);
-    if (best->wait <= borne && !too_late)
+        scaled(request.time_to_deadline, this->settings.usable_deadline_share);
+    if (best->wait <= tolerated_wait && !too_late)
     {
         return *best;
     }
-    return no_room_to_place{
-        best->wait, return_time(best->wait - borne, this->settings, random)};
+    return no_free_capacity{best->wait, return_time(best->wait - tolerated_wait,
+                                                    this->settings, random)};
 }
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/upstream_placement.hpp
+++ b/bilberrylead/policy/upstream_placement.hpp
@@ -3,7 +3,7 @@
 
 #include "bilberrylead/core/time.hpp"
 #include "bilberrylead/policy/placement_candidate.hpp"
-#include "bilberrylead/policy/placement_question.hpp"
+#include "bilberrylead/policy/placement_request.hpp"
 #include "bilberrylead/policy/placement_settings.hpp"
 #include "bilberrylead/policy/placement_verdict.hpp"
 
@@ -40,7 +40,7 @@
 
     /// Decides for one request.
     placement_verdict place(std::span<placement_candidate const> candidates,
-                            placement_question const& question,
+                            placement_request const& request,
                             generator& random) const;
 
     /// Expected time until a slot of the candidate is free.
@@ -48,18 +48,19 @@
 
 private:
     /// The first two upstreams of an object in one region.
-    struct favourites
+    struct preferred_upstreams
     {
         std::optional<std::size_t> first;
         std::optional<std::size_t> second;
     };
 
-    static favourites
-    favourites_of(std::span<placement_candidate const> candidates,
-                  placement_question const& question, std::uint32_t region);
+    static preferred_upstreams
+    find_preferred_upstreams(std::span<placement_candidate const> candidates,
+                             placement_request const& request,
+                             std::uint32_t region);
     double run_factor(placement_candidate const& candidate, std::size_t index,
-                      favourites const& known,
-                      placement_question const& question) const;
+                      preferred_upstreams const& preferred,
+                      placement_request const& request) const;
 
     placement_settings settings;
 };
--- a/bilberrylead/policy/upstream_view.hpp
+++ b/bilberrylead/policy/upstream_view.hpp
@@ -31,7 +31,7 @@
     /// Mean service time of late, without links and waiting; over 0.
     duration service_time = std::chrono::milliseconds(20);
     /// One-way latency to it; over 0 outside of the own host.
-    duration distance{};
+    duration one_way_latency{};
     /// How far it is trusted.
     upstream_condition condition = upstream_condition::healthy;
     /// True once any signal said that it leaves: no new work.
@@ -40,7 +40,7 @@
     bool allowed = true;
 
     /// True if new work may be sent to it at all.
-    bool takes_work() const
+    bool accepts_work() const
     {
         return this->allowed && !this->leaving && this->usable_slots > 0;
     }
--- a/performance/policy_bench/direct_model.hpp
+++ b/performance/policy_bench/direct_model.hpp
@@ -90,7 +90,7 @@
             bilberrylead::policy::upstream_view view;
             view.slots = this->where.slots;
             view.usable_slots = this->where.slots;
-            view.distance = this->where.distance(zone, upstream_zone);
+            view.one_way_latency = this->where.distance(zone, upstream_zone);
             view.allowed =
                 !own_region_only || this->where.region_of(zone) ==
                                         this->where.region_of(upstream_zone);
--- a/performance/policy_bench/owner_model.cpp
+++ b/performance/policy_bench/owner_model.cpp
@@ -55,13 +55,13 @@
             this->upstreams.emplace_back(where.machines[this->upstreams.size()],
                                          where.slots, what);
         }
-        std::vector<neighbour_zone> neighbours;
+        std::vector<nearby_zone> neighbours;
         for (std::uint32_t other = 0; other < where.zones(); ++other)
         {
             if (other != zone)
             {
-                neighbour_zone one;
-                one.distance = where.distance(zone, other);
+                nearby_zone one;
+                one.one_way_latency = where.distance(zone, other);
                 neighbours.push_back(one);
             }
         }
--- a/performance/policy_bench/policy_row.cpp
+++ b/performance/policy_bench/policy_row.cpp
@@ -1,10 +1,10 @@
 #include "policy_row.hpp"
 
-#include "bilberrylead/policy/completion_choice.hpp"
+#include "bilberrylead/policy/least_completion_choice.hpp"
 #include "bilberrylead/policy/least_in_flight_choice.hpp"
+#include "bilberrylead/policy/power_of_two_choice.hpp"
 #include "bilberrylead/policy/random_choice.hpp"
 #include "bilberrylead/policy/round_robin_choice.hpp"
-#include "bilberrylead/policy/two_choices.hpp"
 #include "direct_model.hpp"
 #include "ideal_model.hpp"
 #include "owner_model.hpp"
@@ -92,15 +92,16 @@
     steering_kind const by_capacity = steering_kind::by_capacity;
     rows.push_back(direct<random_choice>("random", even, false));
     rows.push_back(direct<round_robin_choice>("round robin", even, false));
-    rows.push_back(direct<two_choices>("two choices", even, false));
+    rows.push_back(direct<power_of_two_choice>("two choices", even, false));
     rows.push_back(
         direct<least_in_flight_choice>("least in flight", even, false));
-    rows.push_back(direct<two_choices>("two choices, own region", even, true));
+    rows.push_back(
+        direct<power_of_two_choice>("two choices, own region", even, true));
     rows.push_back(direct<least_in_flight_choice>(baseline_name, even, true));
     rows.push_back(direct<least_in_flight_choice>(
         "least in flight, own region, steered", by_capacity, true));
-    rows.push_back(
-        direct<completion_choice>("least completion time", by_capacity, false));
+    rows.push_back(direct<least_completion_choice>("least completion time",
+                                                   by_capacity, false));
 }
 
 void add_rules_off(std::vector<policy_row>& rows)
--- a/tests/unit/entry/routed_request_test.cpp
+++ b/tests/unit/entry/routed_request_test.cpp
@@ -261,9 +261,9 @@
             instant const now = instant{} + 1h;
             state.configure({{&told, {}, 0, false, now + 3s}});
             state.set_shares(share, 0);
-            policy::placement_question question;
-            question.to_aim = 1s;
-            question.to_deadline = 3s;
+            policy::placement_request question;
+            question.time_to_target = 1s;
+            question.time_to_deadline = 3s;
             for (int request = 0; request < 3; ++request)
             {
                 if (std::holds_alternative<policy::placed>(
--- a/tests/unit/policy/choice_and_retry_test.cpp
+++ b/tests/unit/policy/choice_and_retry_test.cpp
@@ -1,9 +1,9 @@
-#include "bilberrylead/policy/completion_choice.hpp"
+#include "bilberrylead/policy/least_completion_choice.hpp"
 #include "bilberrylead/policy/least_in_flight_choice.hpp"
+#include "bilberrylead/policy/power_of_two_choice.hpp"
 #include "bilberrylead/policy/random_choice.hpp"
 #include "bilberrylead/policy/retry_budget.hpp"
 #include "bilberrylead/policy/round_robin_choice.hpp"
-#include "bilberrylead/policy/two_choices.hpp"
 
 #include <criterion/criterion.h>
 
@@ -49,38 +49,38 @@
     cr_assert_not(choose(random_choice(), set).has_value());
     cr_assert_not(choose(round_robin_choice(), set).has_value());
     cr_assert_not(choose(least_in_flight_choice(), set).has_value());
-    cr_assert_not(choose(two_choices(), set).has_value());
-    cr_assert_not(choose(completion_choice(), set).has_value());
+    cr_assert_not(choose(power_of_two_choice(), set).has_value());
+    cr_assert_not(choose(least_completion_choice(), set).has_value());
 }
 
-Test(completion_choice, slow_upstream_comes_last_until_others_are_full)
+Test(least_completion_choice, slow_upstream_comes_last_until_others_are_full)
 {
     upstream_set set = three_upstreams();
     set.upstreams[0].service_time = 100ms;
     set.upstreams[1].in_flight = 3;
     set.upstreams[2].in_flight = 3;
-    cr_assert_neq(*choose(completion_choice(), set), 0);
+    cr_assert_neq(*choose(least_completion_choice(), set), 0);
     cr_assert_eq(*choose(least_in_flight_choice(), set), 0);
     set.upstreams[1].in_flight = 20;
     set.upstreams[2].in_flight = 20;
-    cr_assert_eq(*choose(completion_choice(), set), 0);
+    cr_assert_eq(*choose(least_completion_choice(), set), 0);
 }
 
 // An upstream that reports "idle" whatever it holds must not draw work: the
 // report can only add to the own count.
-Test(completion_choice, idle_report_does_not_hide_own_requests)
+Test(least_completion_choice, idle_report_does_not_hide_own_requests)
 {
     upstream_set set = three_upstreams();
     set.upstreams[0].in_flight = 6;
     set.upstreams[0].in_use_by_others = 0;
     set.upstreams[0].report_age = 0ms;
-    cr_assert_neq(*choose(completion_choice(), set), 0);
+    cr_assert_neq(*choose(least_completion_choice(), set), 0);
 }
 
-Test(completion_choice, report_fades_with_its_age)
+Test(least_completion_choice, report_fades_with_its_age)
 {
     upstream_view view = three_upstreams().upstreams[0];
-    completion_choice const choice;
+    least_completion_choice const choice;
     view.in_use_by_others = 9;
     view.report_age = 0ms;
     cr_assert(choice.expected_completion(view) > 60ms);
--- a/tests/unit/policy/recent_peak_test.cpp
+++ b/tests/unit/policy/recent_peak_test.cpp
@@ -20,24 +20,24 @@
 Test(recent_peak, smaller_count_of_a_successor_does_not_count_at_once)
 {
     recent_peak peak(10s);
-    cr_expect_eq(peak.note(270, start), 270U);
-    cr_expect_eq(peak.note(27, start + 1s), 270U);
-    cr_expect_eq(peak.note(269, start + 3s), 270U);
-    cr_expect_eq(peak.note(269, start + 9s), 270U);
+    cr_expect_eq(peak.record(270, start), 270U);
+    cr_expect_eq(peak.record(27, start + 1s), 270U);
+    cr_expect_eq(peak.record(269, start + 3s), 270U);
+    cr_expect_eq(peak.record(269, start + 9s), 270U);
 }
 
 Test(recent_peak, count_that_stays_smaller_is_taken_in_the_end)
 {
     recent_peak peak(10s);
-    peak.note(270, start);
-    peak.note(200, start + 5s);
-    cr_expect_eq(peak.note(180, start + 10s), 200U);
-    cr_expect_eq(peak.note(180, start + 20s), 180U);
+    peak.record(270, start);
+    peak.record(200, start + 5s);
+    cr_expect_eq(peak.record(180, start + 10s), 200U);
+    cr_expect_eq(peak.record(180, start + 20s), 180U);
 }
 
 Test(recent_peak, larger_count_is_taken_at_once)
 {
     recent_peak peak(10s);
-    peak.note(10, start);
-    cr_expect_eq(peak.note(11, start + 1ms), 11U);
+    peak.record(10, start);
+    cr_expect_eq(peak.record(11, start + 1ms), 11U);
 }
--- a/tests/unit/policy/slot_owner_test.cpp
+++ b/tests/unit/policy/slot_owner_test.cpp
@@ -31,10 +31,10 @@
 
     explicit owner_fixture(
         slot_owner_settings const& settings = strict_settings())
-        : owner({3, 3},
-                {neighbour_zone{1ms, 0, {}, {}, 0},
-                 neighbour_zone{35ms, 0, {}, {}, 0}},
-                settings)
+        : owner(
+              {3, 3},
+              {nearby_zone{1ms, 0, {}, {}, 0}, nearby_zone{35ms, 0, {}, {}, 0}},
+              settings)
     {
         this->owner.reduce(ownership_started{1, this->now + 10s, {}, 0},
                            this->now);
--- a/tests/unit/policy/upstream_health_test.cpp
+++ b/tests/unit/policy/upstream_health_test.cpp
@@ -76,10 +76,10 @@
     health_fixture fixture;
     fixture.fail(3);
     fixture.now += 499ms;
-    fixture.health.reduce(health_checked{}, fixture.now);
+    fixture.health.reduce(health_timer_elapsed{}, fixture.now);
     cr_assert(fixture.health.condition() == upstream_condition::ejected);
     fixture.now += 1ms;
-    fixture.health.reduce(health_checked{}, fixture.now);
+    fixture.health.reduce(health_timer_elapsed{}, fixture.now);
     cr_assert(fixture.health.condition() == upstream_condition::probing);
     cr_assert_eq(fixture.health.usable_slots(), 1);
     fixture.answer(5);
@@ -93,13 +93,13 @@
     health_fixture fixture;
     fixture.fail(3);
     fixture.now += 500ms;
-    fixture.health.reduce(health_checked{}, fixture.now);
+    fixture.health.reduce(health_timer_elapsed{}, fixture.now);
     fixture.fail(1);
     fixture.now += 999ms;
-    fixture.health.reduce(health_checked{}, fixture.now);
+    fixture.health.reduce(health_timer_elapsed{}, fixture.now);
     cr_assert(fixture.health.condition() == upstream_condition::ejected);
     fixture.now += 1ms;
-    fixture.health.reduce(health_checked{}, fixture.now);
+    fixture.health.reduce(health_timer_elapsed{}, fixture.now);
     cr_assert(fixture.health.condition() == upstream_condition::probing);
 }
 
@@ -107,7 +107,7 @@
 {
     health_fixture fixture;
     fixture.fail(3);
-    fixture.health.reduce(room_ran_out{}, fixture.now);
+    fixture.health.reduce(capacity_exhausted{}, fixture.now);
     cr_assert(fixture.health.condition() == upstream_condition::probing);
 }
 
--- a/tests/unit/policy/upstream_placement_test.cpp
+++ b/tests/unit/policy/upstream_placement_test.cpp
@@ -1,8 +1,8 @@
 #include "bilberrylead/policy/upstream_placement.hpp"
 
 #include "bilberrylead/policy/generator.hpp"
-#include "bilberrylead/policy/object_memory.hpp"
 #include "bilberrylead/policy/rate_limit.hpp"
+#include "bilberrylead/policy/recent_objects.hpp"
 #include "bilberrylead/policy/upstream_estimate.hpp"
 
 #include <criterion/criterion.h>
@@ -18,7 +18,7 @@
 using namespace std::chrono_literals;
 using policy::placed;
 using policy::placement_candidate;
-using policy::placement_question;
+using policy::placement_request;
 using policy::placement_verdict;
 
 namespace
@@ -29,33 +29,33 @@
 /// Upstreams of three slots that run a known object in 72 ms.
 std::vector<placement_candidate> idle_upstreams(std::size_t count)
 {
-    std::vector<placement_candidate> made(count);
+    std::vector<placement_candidate> candidates(count);
     for (std::size_t index = 0; index < count; ++index)
     {
-        made[index].hash = 1000 + index * 77;
-        made[index].slots = 3;
-        made[index].service_time = 72ms;
+        candidates[index].hash = 1000 + index * 77;
+        candidates[index].slots = 3;
+        candidates[index].service_time = 72ms;
     }
-    return made;
+    return candidates;
 }
 
-placement_question question_of(std::uint64_t object)
+placement_request request_for(std::uint64_t object)
 {
     return {object, 250ms, 1200ms, 0};
 }
 
-struct placing
+struct placement_fixture
 {
     placement_verdict place(std::vector<placement_candidate> const& candidates,
-                            placement_question const& question)
+                            placement_request const& request)
     {
-        return this->placement.place(candidates, question, this->random);
+        return this->placement.place(candidates, request, this->random);
     }
 
     std::size_t index(std::vector<placement_candidate> const& candidates,
-                      placement_question const& question)
+                      placement_request const& request)
     {
-        placement_verdict const verdict = this->place(candidates, question);
+        placement_verdict const verdict = this->place(candidates, request);
         placed const* const found = std::get_if<placed>(&verdict);
         cr_assert_not_null(found);
         return found->index;
@@ -71,15 +71,16 @@
 // upstream that has it in its caches from both of them.
 Test(upstream_placement, object_goes_to_the_same_upstream_from_every_host)
 {
-    placing one;
-    placing other;
-    other.random = policy::generator(99);
+    placement_fixture first_host;
+    placement_fixture second_host;
+    second_host.random = policy::generator(99);
     std::vector<placement_candidate> const upstreams = idle_upstreams(8);
     std::set<std::size_t> used;
     for (std::uint64_t object = 1; object <= 200; ++object)
     {
-        std::size_t const index = one.index(upstreams, question_of(object));
-        cr_expect_eq(other.index(upstreams, question_of(object)), index);
+        std::size_t const index =
+            first_host.index(upstreams, request_for(object));
+        cr_expect_eq(second_host.index(upstreams, request_for(object)), index);
         used.insert(index);
     }
     cr_expect_eq(used.size(), 8U);
@@ -87,17 +88,17 @@
 
 Test(upstream_placement, lost_upstream_moves_only_its_own_objects)
 {
-    placing host;
+    placement_fixture host;
     std::vector<placement_candidate> upstreams = idle_upstreams(8);
     std::vector<std::size_t> before;
     for (std::uint64_t object = 1; object <= 200; ++object)
     {
-        before.push_back(host.index(upstreams, question_of(object)));
+        before.push_back(host.index(upstreams, request_for(object)));
     }
     upstreams[3].allowed = false;
     for (std::uint64_t object = 1; object <= 200; ++object)
     {
-        std::size_t const now = host.index(upstreams, question_of(object));
+        std::size_t const now = host.index(upstreams, request_for(object));
         cr_expect(before[object - 1] == 3 || before[object - 1] == now);
     }
 }
@@ -106,29 +107,29 @@
 // than an unknown run takes elsewhere would be the worse of the two.
 Test(upstream_placement, full_upstream_gives_its_object_to_another)
 {
-    placing host;
+    placement_fixture host;
     std::vector<placement_candidate> upstreams = idle_upstreams(4);
-    std::size_t const first = host.index(upstreams, question_of(5));
+    std::size_t const first = host.index(upstreams, request_for(5));
     upstreams[first].in_flight = 3;
-    cr_expect_eq(host.index(upstreams, question_of(5)), first,
+    cr_expect_eq(host.index(upstreams, request_for(5)), first,
                  "a short wait is better than an unknown run");
     upstreams[first].in_flight = 40;
-    cr_expect_neq(host.index(upstreams, question_of(5)), first);
+    cr_expect_neq(host.index(upstreams, request_for(5)), first);
 }
 
 // Saturation: every answer would come too late. The caller hears so at
 // once, and when room is expected.
 Test(upstream_placement, overload_is_refused_with_the_time_until_room)
 {
-    placing host;
+    placement_fixture host;
     std::vector<placement_candidate> upstreams = idle_upstreams(4);
-    for (placement_candidate& each : upstreams)
+    for (placement_candidate& candidate : upstreams)
     {
-        each.others = 20;
+        candidate.held_by_others = 20;
     }
-    placement_verdict const verdict = host.place(upstreams, question_of(5));
-    policy::no_room_to_place const* const full =
-        std::get_if<policy::no_room_to_place>(&verdict);
+    placement_verdict const verdict = host.place(upstreams, request_for(5));
+    policy::no_free_capacity const* const full =
+        std::get_if<policy::no_free_capacity>(&verdict);
     cr_assert_not_null(full);
     cr_expect(full->retry_after > 100ms);
     cr_expect(full->retry_after < 2s);
@@ -140,63 +141,63 @@
 Test(upstream_placement,
      refused_crowd_comes_back_spread_and_after_room_is_there)
 {
-    placing host;
+    placement_fixture host;
     std::vector<placement_candidate> upstreams = idle_upstreams(4);
-    for (placement_candidate& each : upstreams)
+    for (placement_candidate& candidate : upstreams)
     {
-        each.others = 20;
+        candidate.held_by_others = 20;
     }
-    duration soonest = duration::max();
+    duration earliest = duration::max();
     duration latest{};
-    duration until_room{};
+    duration until_capacity{};
     for (int caller = 0; caller < 200; ++caller)
     {
-        placement_verdict const verdict = host.place(upstreams, question_of(5));
-        policy::no_room_to_place const& full =
-            std::get<policy::no_room_to_place>(verdict);
+        placement_verdict const verdict = host.place(upstreams, request_for(5));
+        policy::no_free_capacity const& full =
+            std::get<policy::no_free_capacity>(verdict);
         // What of the 250 ms is left beside the run may be waited.
-        until_room = full.wait - (250ms - 72ms);
-        soonest = std::min(soonest, full.retry_after);
+        until_capacity = full.wait - (250ms - 72ms);
+        earliest = std::min(earliest, full.retry_after);
         latest = std::max(latest, full.retry_after);
     }
-    cr_expect(soonest > until_room);
-    cr_expect(latest - soonest > until_room, "spread over as long again");
+    cr_expect(earliest > until_capacity);
+    cr_expect(latest - earliest > until_capacity, "spread over as long again");
 }
 
 Test(upstream_placement, request_that_cannot_make_its_deadline_is_refused)
 {
-    placing host;
-    placement_question question = question_of(5);
-    question.to_deadline = 40ms;
-    cr_expect(std::holds_alternative<policy::no_room_to_place>(
-        host.place(idle_upstreams(4), question)));
+    placement_fixture host;
+    placement_request request = request_for(5);
+    request.time_to_deadline = 40ms;
+    cr_expect(std::holds_alternative<policy::no_free_capacity>(
+        host.place(idle_upstreams(4), request)));
 }
 
 Test(upstream_placement, region_is_left_only_if_it_has_no_upstream)
 {
-    placing host;
+    placement_fixture host;
     std::vector<placement_candidate> upstreams = idle_upstreams(4);
     upstreams[2].region = 1;
     upstreams[3].region = 1;
     upstreams[0].in_flight = 3;
     upstreams[1].in_flight = 3;
-    cr_expect_lt(host.index(upstreams, question_of(5)), 2U);
+    cr_expect_lt(host.index(upstreams, request_for(5)), 2U);
     upstreams[0].allowed = false;
     upstreams[1].allowed = false;
-    cr_expect_geq(host.index(upstreams, question_of(5)), 2U);
+    cr_expect_geq(host.index(upstreams, request_for(5)), 2U);
     upstreams[2].allowed = false;
     upstreams[3].allowed = false;
-    cr_expect(std::holds_alternative<policy::nowhere_to_place>(
-        host.place(upstreams, question_of(5))));
+    cr_expect(std::holds_alternative<policy::no_upstream_allowed>(
+        host.place(upstreams, request_for(5))));
 }
 
 Test(upstream_placement, second_try_goes_to_another_upstream)
 {
-    placing host;
+    placement_fixture host;
     std::vector<placement_candidate> upstreams = idle_upstreams(2);
-    std::size_t const first = host.index(upstreams, question_of(5));
+    std::size_t const first = host.index(upstreams, request_for(5));
     upstreams[first].tried = true;
-    cr_expect_neq(host.index(upstreams, question_of(5)), first);
+    cr_expect_neq(host.index(upstreams, request_for(5)), first);
 }
 
 // Four times as slow, then sound again: it must be avoided within some
@@ -206,26 +207,26 @@
     policy::upstream_estimate estimate;
     for (int run = 0; run < 10; ++run)
     {
-        estimate.ran(400ms, 100ms, start);
+        estimate.record_run(400ms, 100ms, start);
     }
-    cr_expect_gt(estimate.slowness(start), 3);
-    cr_expect_lt(estimate.slowness(start + 20s), 1.1);
+    cr_expect_gt(estimate.slowdown(start), 3);
+    cr_expect_lt(estimate.slowdown(start + 20s), 1.1);
 }
 
 Test(upstream_estimate, report_fades_towards_what_is_usual)
 {
     policy::upstream_estimate estimate;
-    cr_expect_eq(estimate.others(1.5, start), 1.5);
-    estimate.reported(9, 2, start);
-    cr_expect_eq(estimate.others(1.5, start), 7);
-    cr_expect_lt(estimate.others(1.5, start + 5s), 1.6);
+    cr_expect_eq(estimate.held_by_others(1.5, start), 1.5);
+    estimate.record_report(9, 2, start);
+    cr_expect_eq(estimate.held_by_others(1.5, start), 7);
+    cr_expect_lt(estimate.held_by_others(1.5, start + 5s), 1.6);
 }
 
 Test(upstream_estimate, upstream_that_turned_a_request_away_counts_as_full)
 {
     policy::upstream_estimate estimate;
-    estimate.turned_away(3, 1, start);
-    cr_expect_eq(estimate.others(0, start), 3);
+    estimate.record_refusal(3, 1, start);
+    cr_expect_eq(estimate.held_by_others(0, start), 3);
 }
 
 // Eleven entry hosts, one cold upstream: in any second they send no more
@@ -258,18 +259,18 @@
     cr_expect_gt(sent.size(), 25U);
 }
 
-Test(object_memory, oldest_object_gives_way)
+Test(recent_objects, oldest_object_gives_way)
 {
-    policy::object_memory memory;
-    cr_expect_not(memory.knows(0));
-    memory.note(1);
+    policy::recent_objects objects;
+    cr_expect_not(objects.contains(0));
+    objects.record(1);
     for (std::uint64_t object = 2; object <= 24; ++object)
     {
-        memory.note(object);
+        objects.record(object);
     }
-    memory.note(1);
-    memory.note(25);
-    cr_expect(memory.knows(1));
-    cr_expect_not(memory.knows(2));
-    cr_expect(memory.knows(25));
+    objects.record(1);
+    objects.record(25);
+    cr_expect(objects.contains(1));
+    cr_expect_not(objects.contains(2));
+    cr_expect(objects.contains(25));
 }
