--- a/bilberrylead/policy/arrival_rate.hpp
+++ b/bilberrylead/policy/arrival_rate.hpp
@@ -9,24 +9,24 @@
 namespace bilberrylead::policy
 {
 
-/// Arrivals a second of late: each counts for less with age.
+/// Arrivals per second as an exponentially decaying average.
 class arrival_rate
 {
 public:
-    /// A rate over about the last `memory`, over 0.
+    /// Averages over about the last `averaging_time`, over 0.
     explicit arrival_rate(std::chrono::duration<double> averaging_time)
         : time_constant(averaging_time)
     {
     }
 
-    /// One arrived.
+    /// Counts one arrival.
     void add(instant now)
     {
         this->rate = this->per_second(now) + 1.0 / this->time_constant.count();
         this->updated_at = now;
     }
 
-    /// Arrivals a second.
+    /// Arrivals per second at `now`.
     double per_second(instant now) const
     {
         std::chrono::duration<double> const age = now - this->updated_at;
--- a/bilberrylead/policy/connection_loss_action.hpp
+++ b/bilberrylead/policy/connection_loss_action.hpp
@@ -7,9 +7,9 @@
 /// What to do about a request whose connection to an upstream was lost.
 enum class connection_loss_action
 {
-    /// Find out whether the upstream still takes connections.
+    /// Test whether the upstream still accepts connections.
     probe,
-    /// That is being found out.
+    /// Wait: a test is already in progress.
     wait,
     /// The upstream is known to have ended.
     upstream_ended,
--- a/bilberrylead/policy/connection_losses.cpp
+++ b/bilberrylead/policy/connection_losses.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// A listing has lost an upstream that ended by then.
+/// Time within which the listing drops an upstream that ended.
 constexpr duration confirmation_timeout = std::chrono::seconds(10);
 
 } // namespace
--- a/bilberrylead/policy/connection_losses.hpp
+++ b/bilberrylead/policy/connection_losses.hpp
@@ -13,32 +13,34 @@
 namespace bilberrylead::policy
 {
 
-/// Tells upstreams that ended from connections that were reset.
+/// Distinguishes upstreams that ended from connections that were reset.
 ///
-/// Failure it answers: a lost connection says nothing about its upstream.
-/// Reset connections counted as crashes would convict innocent requests, so
-/// that a loss counts only once a connection was refused, or the listing has
-/// the upstream no more.
+/// Failure it handles: a lost connection does not show whether its upstream
+/// ended. If reset connections counted as crashes, harmless requests would be
+/// classified as crashing. A loss therefore counts only once the upstream has
+/// refused a connection or is no longer listed.
 class connection_losses
 {
 public:
-    /// A request's connection to the upstream was lost while it may have
-    /// run there.
+    /// Records that the connection of a request to the upstream was lost while
+    /// the request may have been running there.
     connection_loss_action record_loss(upstream_id const& upstream,
                                        std::uint64_t digest, instant now);
 
-    /// The upstream refused a connection, or is listed no more. Returns the
-    /// requests that it may have been running.
+    /// Records that the upstream refused a connection or is no longer listed.
+    /// Returns the digests of the requests that it may have been running.
     std::vector<std::uint64_t> record_ended(upstream_id const& upstream,
                                             instant now);
 
-    /// The upstream took a connection or answered.
+    /// Records that the upstream accepted a connection or answered.
     void record_responsive(upstream_id const& upstream);
 
-    /// Upstreams of which it is not known yet whether they ended.
+    /// Upstreams with a lost connection that are not yet known to have ended or
+    /// to be responsive.
     std::vector<upstream_id> unresolved() const;
 
-    /// Forgets losses that nothing confirmed in time.
+    /// Discards losses that were not confirmed in time, and old records of
+    /// upstreams that ended.
     void expire(instant now);
 
 private:
--- a/bilberrylead/policy/generator.hpp
+++ b/bilberrylead/policy/generator.hpp
@@ -6,18 +6,19 @@
 namespace bilberrylead::policy
 {
 
-/// Seeded random numbers (SplitMix64): the same seed gives the same
-/// decisions on every machine, which the library's distributions do not
-/// promise. Owned by the state that decides; eight bytes, no allocation.
+/// Seeded pseudo-random number generator (SplitMix64). The same seed gives the
+/// same decisions on every machine, which the distributions of the standard
+/// library do not guarantee. Owned by the object that makes the decisions;
+/// eight bytes, no allocation.
 class generator
 {
 public:
-    /// Starts the sequence that `seed` names.
+    /// Starts the sequence of `seed`.
     explicit constexpr generator(std::uint64_t seed) : state(seed)
     {
     }
 
-    /// The next 64 bits.
+    /// The next 64 random bits.
     constexpr std::uint64_t next()
     {
         this->state += 0x9E3779B97F4A7C15U;
@@ -27,14 +28,14 @@
         return mixed ^ (mixed >> 31U);
     }
 
-    /// A number from 0 to `limit - 1`; `limit` is at least 1.
+    /// A uniform random number from 0 to `limit - 1`; `limit` is at least 1.
     constexpr std::uint32_t below(std::uint32_t limit)
     {
         return static_cast<std::uint32_t>(
             ((this->next() >> 32U) * std::uint64_t{limit}) >> 32U);
     }
 
-    /// A number in [0, 1).
+    /// A uniform random number in [0, 1).
     constexpr double unit()
     {
         constexpr double step = 1.0 / 9007199254740992.0;
--- a/bilberrylead/policy/least_completion_choice.hpp
+++ b/bilberrylead/policy/least_completion_choice.hpp
@@ -7,32 +7,33 @@
 namespace bilberrylead::policy
 {
 
-/// The product's own choice: the upstream with the least expected time to
-/// completion, that is both ways of the link, the wait behind what it holds,
-/// and its service time.
+/// The default policy: selects the upstream with the least expected completion
+/// time, which is the network round trip, the wait behind the requests that the
+/// upstream holds, and its service time.
 ///
-/// Load it answers: a slow upstream, distant upstreams, reports that lag or
-/// lie. Without it a slow upstream gets a fast one's share and its callers
-/// wait five times as long; least in flight sees the backlog only once it
-/// is there. A report can only add to the own count, never take from it, so
-/// an upstream that reports "idle" gains nothing over one that has no
-/// report; and what it adds fades with its age.
+/// Load it handles: a slow upstream, distant upstreams, and load reports that
+/// are late or false. Without it, a slow upstream receives the same share as a
+/// fast one and its callers wait five times as long; least_in_flight_choice
+/// reacts only once the backlog has built up. A report can only add to the
+/// in-flight count of this entry host, never reduce it, so that an upstream
+/// that reports "idle" has no advantage over one without a report. The weight
+/// of a report decreases with its age.
 class least_completion_choice
 {
 public:
-    /// Makes a choice that follows `settings`.
+    /// Creates a policy that follows `settings`.
     explicit least_completion_choice(
         least_completion_choice_settings const& settings = {})
         : settings(settings)
     {
     }
 
-    /// Picks one; see upstream_choice.
+    /// Selects an upstream; see upstream_choice.
     std::optional<std::size_t> choose(upstream_set const& set, instant now,
                                       generator& random) const;
 
     /// Expected time from sending a request to `upstream` until its answer
-    /// is here.
+    /// arrives.
     duration expected_completion(upstream_view const& upstream) const;
 
 private:
--- a/bilberrylead/policy/least_completion_choice_settings.hpp
+++ b/bilberrylead/policy/least_completion_choice_settings.hpp
@@ -8,16 +8,18 @@
 namespace bilberrylead::policy
 {
 
-/// Settings of completion_choice.
+/// Settings of least_completion_choice.
 struct least_completion_choice_settings
 {
-    /// Age at which a load report counts for nothing; over 0. A slot is
-    /// held for 20 ms on average, so what a report says about others' work
-    /// is worth about a third after one service time and nothing after five.
+    /// Age at which a load report is ignored; over 0. A request holds a slot
+    /// for 20 ms on average, so that a report on the requests of other entry
+    /// hosts has about a third of its value after one service time and none
+    /// after five.
     duration report_lifetime = std::chrono::milliseconds(100);
-    /// What a suspected upstream is handicapped by. One second is longer
-    /// than any wait that admission allows, so it comes after every healthy
-    /// one, yet still before a refusal.
+    /// Added to the expected completion time of a suspected upstream. One
+    /// second is longer than any wait that admission allows, so that every
+    /// healthy upstream is preferred, but a suspected one is still preferred to
+    /// a refusal.
     duration suspicion_penalty = std::chrono::seconds(1);
 };
 
--- a/bilberrylead/policy/least_in_flight_choice.cpp
+++ b/bilberrylead/policy/least_in_flight_choice.cpp
@@ -9,7 +9,7 @@
 least_in_flight_choice::choose(upstream_set const& set, instant /*now*/,
                                generator& random) const
 {
-    std::optional<std::size_t> picked;
+    std::optional<std::size_t> selected;
     std::uint32_t fewest = 0;
     std::uint32_t ties = 0;
     for (std::size_t index = 0; index < set.upstreams.size(); ++index)
@@ -19,21 +19,22 @@
         {
             continue;
         }
-        if (picked.has_value() && upstream.in_flight > fewest)
+        if (selected.has_value() && upstream.in_flight > fewest)
         {
             continue;
         }
-        // A tie is broken by chance, or every entry host would fill the
+        // Ties are broken at random; otherwise all entry hosts would fill the
         // first upstream of the list first.
-        bool const better = !picked.has_value() || upstream.in_flight < fewest;
+        bool const better =
+            !selected.has_value() || upstream.in_flight < fewest;
         ties = better ? 1 : ties + 1;
         if (better || random.below(ties) == 0)
         {
-            picked = index;
+            selected = index;
             fewest = upstream.in_flight;
         }
     }
-    return picked;
+    return selected;
 }
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/least_in_flight_choice.hpp
+++ b/bilberrylead/policy/least_in_flight_choice.hpp
@@ -6,13 +6,14 @@
 namespace bilberrylead::policy
 {
 
-/// Baseline: the upstream with the fewest requests of this entry host, ties
-/// by chance. With many entry hosts and three slots the own count is mostly
-/// 0 or 1, so it cannot see that other entry hosts filled the slots.
+/// Baseline for comparison: the upstream with the fewest requests in flight
+/// from this entry host; ties are broken at random. With many entry hosts and
+/// three slots for each upstream, this count is mostly 0 or 1 and does not show
+/// that other entry hosts have filled the slots.
 class least_in_flight_choice
 {
 public:
-    /// Picks one; see upstream_choice.
+    /// Selects an upstream; see upstream_choice.
     std::optional<std::size_t> choose(upstream_set const& set, instant now,
                                       generator& random) const;
 };
--- a/bilberrylead/policy/nearby_zone.hpp
+++ b/bilberrylead/policy/nearby_zone.hpp
@@ -8,18 +8,18 @@
 namespace bilberrylead::policy
 {
 
-/// Another zone's load as this zone's owner knows it.
+/// The load of another zone as known to this zone's owner.
 struct nearby_zone
 {
-    /// One-way latency to it.
+    /// One-way network latency to the zone.
     duration one_way_latency{};
-    /// Slots it may use; 0 until it reports.
+    /// Slots that the zone may use; 0 until it reports.
     std::uint32_t usable_slots = 0;
-    /// Expected wait there by its last report.
+    /// Expected wait in the zone by its last report.
     duration expected_wait{};
-    /// When that report came.
+    /// When that report arrived.
     instant reported_at;
-    /// Requests that were moved there since.
+    /// Requests that were moved to the zone since that report.
     std::uint32_t moved_since_report = 0;
 };
 
--- a/bilberrylead/policy/placement_candidate.hpp
+++ b/bilberrylead/policy/placement_candidate.hpp
@@ -9,31 +9,36 @@
 namespace bilberrylead::policy
 {
 
-/// One upstream as a placement sees it. Kept up by the entry host.
+/// State of one upstream as input to upstream_placement. Maintained by the
+/// entry host.
 struct placement_candidate
 {
-    /// Hash of the upstream's id: objects are spread by it, the same way on
-    /// every entry host.
+    /// Hash of the upstream's id. Rendezvous hashing assigns objects by it, so
+    /// that every entry host gets the same assignment.
     std::uint64_t hash = 0;
-    /// Requests it runs at a time; at least 1.
+    /// Requests that the upstream runs concurrently; at least 1.
     std::uint32_t slots = 1;
-    /// Requests of this entry host that it has not answered yet.
+    /// Requests from this entry host that the upstream has not answered yet.
     std::uint32_t in_flight = 0;
-    /// Requests of others that it runs or holds, by its reports of late.
+    /// Estimated requests from other entry hosts that the upstream runs or
+    /// queues, from its recent load reports.
     double held_by_others = 0;
-    /// Time that it takes for a request on a free slot; over 0.
+    /// Expected service time of a request on a free slot; over 0.
     duration service_time = std::chrono::milliseconds(20);
-    /// One-way latency to it.
+    /// One-way network latency to the upstream.
     duration one_way_latency{};
-    /// Handicap: it failed of late, or is cold.
+    /// Added to the expected completion time if the upstream failed recently or
+    /// is cold.
     duration penalty{};
-    /// Number of its region: objects have a first upstream in each.
+    /// Number of the upstream's region. Each object has a first-choice upstream
+    /// in every region.
     std::uint32_t region = 0;
-    /// False if it may get nothing now.
+    /// False if no request may be sent to the upstream now.
     bool allowed = true;
-    /// True if it worked on the request's object of late.
+    /// True if the upstream recently worked on the request's object, so that
+    /// the object is likely in its caches.
     bool likely_cached = false;
-    /// True if the request was sent to it before.
+    /// True if an earlier attempt of the request was sent to the upstream.
     bool tried = false;
 };
 
--- a/bilberrylead/policy/placement_request.hpp
+++ b/bilberrylead/policy/placement_request.hpp
@@ -8,17 +8,19 @@
 namespace bilberrylead::policy
 {
 
-/// What a request wants of a placement.
+/// The properties of a request that determine its placement.
 struct placement_request
 {
-    /// Hash of the object that it is about; 0 if it names none.
+    /// Hash of the object that the request is about; 0 if it names none.
     std::uint64_t object = 0;
-    /// Time left until its answer is worth less; negative if that is over.
+    /// Time left until the target latency is exceeded and the answer loses
+    /// value; negative if that has passed.
     duration time_to_target{};
-    /// Time left until its answer is worth nothing; over 0.
+    /// Time left until the deadline, after which the answer has no value; over
+    /// 0.
     duration time_to_deadline{};
-    /// Number of the region it should run in; others only if that has no
-    /// upstream that may get anything.
+    /// Number of the region that the request should run in. Other regions are
+    /// used only if no upstream of this region may receive requests.
     std::uint32_t region = 0;
 };
 
--- a/bilberrylead/policy/placement_settings.hpp
+++ b/bilberrylead/policy/placement_settings.hpp
@@ -11,30 +11,34 @@
 /// Settings of upstream_placement.
 struct placement_settings
 {
-    /// What a run costs on an upstream that does not know the object,
-    /// against one that does: it takes several times as long and pushes
-    /// another object out, whose next run is as long.
+    /// Assumed run time on an upstream that does not have the object cached,
+    /// relative to one that does. The run takes several times as long and
+    /// evicts another object, whose next run takes as long.
     double uncached_run_factor = 8;
-    /// The same on an object's second upstream of a region. What spills over
-    /// from the first goes there, but rarely enough that the object has left
-    /// its caches again: a small factor filled the caches of both.
+    /// The same factor for the object's second-choice upstream in a region.
+    /// Overflow from the first choice goes there, but so rarely that the object
+    /// has been evicted from its caches again in the meantime. A small factor
+    /// would fill the caches of both upstreams with the same objects.
     double second_choice_run_factor = 7;
-    /// Wait that is always borne, as a share of the service time. Below it
-    /// slots would stand idle between two arrivals, and a caller that is late
-    /// already would come back later still: a late answer is worth more to it
-    /// than a refusal. Longer waits make others late.
+    /// Wait for a slot that is always accepted, as a share of the service time.
+    /// With a lower limit, slots would stand idle between two arrivals, and a
+    /// caller that has already missed its target latency would be delayed
+    /// further by a retry, although a late answer is worth more to it than a
+    /// refusal. Longer waits delay other requests.
     double min_tolerated_wait_share = 1;
-    /// Share of the time to the deadline that the expected completion may
-    /// use; the rest covers what the estimate misses.
+    /// Share of the time to the deadline that the expected completion time may
+    /// use; the remainder covers estimation errors.
     double usable_deadline_share = 0.9;
-    /// When a refused caller is to come back, in times until room is
-    /// expected; each draws its own between the two. The expected time counts
-    /// those who wait now. Others are refused and come back as well, so that
-    /// a caller that is back after that time is refused again; most have one
-    /// more try only.
+    /// Range of the retry time of a refused caller, as multiples of the time
+    /// until free capacity is expected; a random factor is drawn for each
+    /// caller. The expected time counts only the requests that wait now. Other
+    /// callers are refused and retry as well, so that a caller that retries
+    /// exactly after that time is refused again; most callers have only one
+    /// attempt left.
     double min_retry_factor = 1.5;
     double max_retry_factor = 3;
-    /// Shortest time after which a refused caller is told to come back.
+    /// Lower bound of the time until free capacity, before the retry factor is
+    /// applied.
     duration min_time_until_capacity = std::chrono::milliseconds(60);
 };
 
--- a/bilberrylead/policy/placement_verdict.hpp
+++ b/bilberrylead/policy/placement_verdict.hpp
@@ -9,36 +9,35 @@
 namespace bilberrylead::policy
 {
 
-/// Send the request there.
+/// The request goes to this upstream.
 struct placed
 {
     /// Index of the candidate.
     std::size_t index = 0;
-    /// Expected time until the answer is back.
+    /// Expected time until the answer arrives.
     duration completion{};
-    /// What of that is waiting for a slot.
+    /// Part of `completion` that is spent waiting for a slot.
     duration wait{};
-    /// How many times longer than on an upstream that knows its object the
-    /// run is expected to be.
+    /// Expected run time relative to an upstream that has the object cached.
     double run_factor = 1;
 };
 
-/// No upstream may get it.
+/// No upstream may receive the request.
 struct no_upstream_allowed
 {
 };
 
-/// Every upstream is too busy: it would come too late.
+/// Every upstream is too busy: the answer would arrive too late.
 struct no_free_capacity
 {
     /// Expected wait at the best upstream.
     duration wait{};
-    /// After what time room is expected; the caller's return is spread
-    /// around it.
+    /// Time after which the caller should retry, randomly spread after the time
+    /// at which free capacity is expected.
     duration retry_after{};
 };
 
-/// Where a request goes.
+/// The result of a placement.
 using placement_verdict =
     std::variant<placed, no_upstream_allowed, no_free_capacity>;
 
--- a/bilberrylead/policy/power_of_two_choice.hpp
+++ b/bilberrylead/policy/power_of_two_choice.hpp
@@ -6,12 +6,12 @@
 namespace bilberrylead::policy
 {
 
-/// Baseline: two upstreams by chance, then the one with fewer requests of
-/// this entry host.
+/// Baseline for comparison: draws two upstreams at random and selects the one
+/// with fewer requests in flight from this entry host.
 class power_of_two_choice
 {
 public:
-    /// Picks one; see upstream_choice.
+    /// Selects an upstream; see upstream_choice.
     std::optional<std::size_t> choose(upstream_set const& set, instant now,
                                       generator& random) const;
 
--- a/bilberrylead/policy/random_choice.cpp
+++ b/bilberrylead/policy/random_choice.cpp
@@ -9,23 +9,24 @@
                                                  instant /*now*/,
                                                  generator& random) const
 {
-    // Reservoir of one: the n-th candidate replaces the pick with
-    // probability 1/n, so no list of candidates has to be built.
-    std::optional<std::size_t> picked;
-    std::uint32_t seen = 0;
+    // Reservoir sampling with a reservoir of one: the n-th candidate replaces
+    // the selected one with probability 1/n, so that no list of candidates is
+    // built.
+    std::optional<std::size_t> selected;
+    std::uint32_t candidate_count = 0;
     for (std::size_t index = 0; index < set.upstreams.size(); ++index)
     {
         if (!set.upstreams[index].accepts_work())
         {
             continue;
         }
-        ++seen;
-        if (random.below(seen) == 0)
+        ++candidate_count;
+        if (random.below(candidate_count) == 0)
         {
-            picked = index;
+            selected = index;
         }
     }
-    return picked;
+    return selected;
 }
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/random_choice.hpp
+++ b/bilberrylead/policy/random_choice.hpp
@@ -6,13 +6,13 @@
 namespace bilberrylead::policy
 {
 
-/// Baseline: any upstream that takes work, each as likely as the next.
-/// Under a slow upstream its queue grows without end, since it gets as much
-/// work as a fast one.
+/// Baseline for comparison: any upstream that accepts work, with equal
+/// probability. The queue of a slow upstream grows without limit, since it
+/// receives as much work as a fast one.
 class random_choice
 {
 public:
-    /// Picks one; see upstream_choice.
+    /// Selects an upstream; see upstream_choice.
     std::optional<std::size_t> choose(upstream_set const& set, instant now,
                                       generator& random) const;
 };
--- a/bilberrylead/policy/recent_objects.hpp
+++ b/bilberrylead/policy/recent_objects.hpp
@@ -8,13 +8,13 @@
 namespace bilberrylead::policy
 {
 
-/// The objects that this entry host had an upstream work on of late: the
-/// upstream has them in its caches, if those hold as many. Fixed memory, no
-/// allocation; the object that was used longest ago gives way.
+/// The objects of this entry host's requests that an upstream worked on most
+/// recently. They are in the upstream's caches if those hold as many. Fixed
+/// memory, no allocation; the least recently used object is evicted.
 class recent_objects
 {
 public:
-    /// The upstream worked on the object.
+    /// Records that the upstream worked on the object.
     void record(std::uint64_t object)
     {
         ++this->use_count;
@@ -34,7 +34,7 @@
         this->entries[oldest] = {object, this->use_count};
     }
 
-    /// True if it worked on the object of late.
+    /// True if the upstream recently worked on the object.
     bool contains(std::uint64_t object) const
     {
         for (entry const& item : this->entries)
@@ -48,7 +48,7 @@
     }
 
 private:
-    /// Objects that are remembered; upstreams hold some dozens.
+    /// Maximum number of objects; upstreams cache a few dozen.
     static constexpr std::size_t capacity = 24;
 
     struct entry
--- a/bilberrylead/policy/recent_peak.hpp
+++ b/bilberrylead/policy/recent_peak.hpp
@@ -9,26 +9,27 @@
 namespace bilberrylead::policy
 {
 
-/// The largest count that was heard of late.
+/// The largest count that was received within a time window.
 ///
-/// Failure it answers: what all hosts together may do is shared by their
-/// number. When whoever counts them is replaced, the successor hears few of
-/// them at first; shares by its small count add up to a multiple of the
-/// bound. Fixed memory, no allocation.
+/// Failure it handles: a limit on all hosts together is divided by the number
+/// of hosts. When the host that counts them is replaced, its successor at first
+/// receives messages from only a few of them; shares computed from its small
+/// count add up to a multiple of the limit. Fixed memory, no allocation.
 class recent_peak
 {
 public:
-    /// A peak that counts for `memory` after it was last heard.
+    /// A peak remains valid for `window_length` after it was last received.
     explicit recent_peak(duration window_length) : window(window_length)
     {
     }
 
-    /// A count was heard; gives the peak.
+    /// Records a received count and returns the peak.
     std::uint64_t record(std::uint64_t count, instant now)
     {
         if (count >= this->peak || now - this->peak_at >= this->window)
         {
-            // What was heard below the peak meanwhile is the next one.
+            // The largest count below the expired peak, if still valid, may be
+            // the next peak.
             this->peak =
                 std::max(count, now - this->lower_peak_at < this->window
                                     ? this->lower_peak
--- a/bilberrylead/policy/region_capacity.hpp
+++ b/bilberrylead/policy/region_capacity.hpp
@@ -4,16 +4,17 @@
 namespace bilberrylead::policy
 {
 
-/// What one region's callers ask of a service, and what room the region has.
+/// The demand of one region's callers for a service, and the region's capacity.
 struct region_capacity
 {
-    /// Slots that its callers' requests would hold if all were served; 0 or
-    /// more.
+    /// Slots that the requests of its callers would occupy if all of them were
+    /// served; 0 or more.
     double demand = 0;
-    /// Slots of its upstreams that take work; 0 or more.
+    /// Slots of its upstreams that accept work; 0 or more.
     double slots = 0;
-    /// Entry hosts that stand there. They are put where callers are, so they
-    /// tell what to expect of a region as long as its demand does not.
+    /// Entry hosts in the region. They are deployed where callers are, so that
+    /// they indicate the expected demand of a region while none has been
+    /// measured.
     double entry_hosts = 0;
 };
 
--- a/bilberrylead/policy/region_plan.cpp
+++ b/bilberrylead/policy/region_plan.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// Demand of each region, filled up to what is expected at least.
+/// Demand of each region, raised to the minimum expected demand.
 std::vector<double> expected_demands(std::span<region_capacity const> regions,
                                      region_plan_settings const& settings)
 {
@@ -55,8 +55,8 @@
                                     ? capacity / total_demand
                                     : 1.0;
 
-    // What each region lacks, and what it can spare, once its own callers
-    // have the part that everybody gets.
+    // The capacity that each region lacks or can spare once its own callers
+    // have the share of their demand that all regions can serve.
     std::vector<double> shortage(count, 0.0);
     std::vector<double> spare(count, 0.0);
     double total_spare = 0;
--- a/bilberrylead/policy/region_plan.hpp
+++ b/bilberrylead/policy/region_plan.hpp
@@ -10,23 +10,26 @@
 namespace bilberrylead::policy
 {
 
-/// For each region the share of its callers' requests that runs in each
-/// region, in the order of `rooms`; every row adds up to 1.
+/// Returns for each region the shares of its callers' requests that run in each
+/// region, in the order of `regions`; every row adds up to 1.
 ///
-/// Load it answers: room and callers do not lie in the same places. Without
-/// a plan the callers of a region with few upstreams wait and are refused
-/// while slots stand idle a region away; if every entry host went where it
-/// is emptiest by itself, all of them would go to the same place at once.
+/// Load it handles: capacity and callers are not in the same places. Without a
+/// plan, the callers of a region with few upstreams wait and are refused while
+/// slots stand idle in another region. If every entry host selected the
+/// emptiest region on its own, all of them would select the same region at the
+/// same time.
 ///
-/// While less is asked for than is expected at least, the rest is taken to
-/// come from the regions' entry hosts, so that nobody waits for the bounded
-/// pace to bring callers to where there is room.
+/// While the measured demand is below the expected minimum, the difference is
+/// attributed to the entry hosts of the regions, so that no caller has to wait
+/// until the bounded rate of change has moved requests to where the capacity
+/// is.
 ///
-/// Requests stay at home while there is room, since the way to another
-/// region and back costs more than a short wait. What a region lacks is
-/// spread over the others in proportion to what those can spare. If all of
-/// them together lack room, each region's callers get the same part of what
-/// they ask for: the rest is refused at home.
+/// Requests stay in their own region while it has capacity, since the round
+/// trip to another region costs more than a short wait. The excess demand of a
+/// region is distributed to the other regions in proportion to their spare
+/// capacity. If the total demand exceeds the total capacity, the same share of
+/// the demand of each region is served and the rest is refused in its own
+/// region.
 std::vector<std::vector<double>>
 plan_regions(std::span<region_capacity const> regions,
              region_plan_settings const& settings = {});
--- a/bilberrylead/policy/region_plan_settings.hpp
+++ b/bilberrylead/policy/region_plan_settings.hpp
@@ -7,15 +7,15 @@
 /// Settings of plan_regions.
 struct region_plan_settings
 {
-    /// Share of all slots that is expected to be in use whatever is measured:
-    /// what is missing from the demand is taken to come from the entry hosts
-    /// alike. Callers then run where a full day would have them run anyway,
-    /// and a demand that rises and falls moves few of them: each object that
-    /// changes its region has to be learnt there, in a run several times as
-    /// long.
+    /// Minimum share of all slots that is expected to be in use, whatever the
+    /// measured demand. The difference to the measured demand is distributed
+    /// over the entry hosts equally. Callers then run where they would run at
+    /// full load, and few of them are moved when the demand rises and falls:
+    /// each object that changes its region has to be cached there first, in a
+    /// run that takes several times as long.
     double expected_utilization = 0.8;
-    /// Share of a region's slots that is counted on at most; the rest goes to
-    /// arrivals that come unevenly.
+    /// Maximum share of a region's slots that is planned for; the remainder
+    /// absorbs uneven arrivals.
     double max_utilization = 0.9;
 };
 
--- a/bilberrylead/policy/region_shares.cpp
+++ b/bilberrylead/policy/region_shares.cpp
@@ -77,10 +77,11 @@
 
 std::size_t region_shares::region_of(std::uint64_t object) const
 {
-    // Weighted rendezvous hashing: each region draws a time at the rate of
-    // its share, the same on every host; the earliest has the object. A
-    // region that is ahead is passed over: the object goes to its next one,
-    // which soon knows it as well.
+    // Weighted rendezvous hashing: each region draws an exponentially
+    // distributed time at the rate of its share, the same on every host, and
+    // the earliest region gets the object. A region that is too far ahead of
+    // its share is skipped: the object goes to its next region, which soon has
+    // it cached as well.
     std::optional<std::size_t> earliest_region;
     double earliest = std::numeric_limits<double>::infinity();
     for (std::size_t region = 0; region < this->shares.size(); ++region)
@@ -99,8 +100,8 @@
             earliest = time;
         }
     }
-    // All that have a share are ahead while others, which just lost theirs,
-    // are still behind.
+    // All regions with a share can be too far ahead while regions that have
+    // just lost their share are still behind.
     return earliest_region.value_or(this->region_furthest_behind());
 }
 
@@ -114,8 +115,8 @@
     {
         this->deficits[region] += this->shares[region];
     }
-    // Without an object the region that is furthest behind would begin
-    // alike on every host.
+    // A request without an object gets a random one. If it went to the region
+    // that is furthest behind, every host would start with the same region.
     std::size_t const region =
         this->region_of(object == 0 ? random.next() : object);
     this->deficits[region] -= 1;
--- a/bilberrylead/policy/region_shares.hpp
+++ b/bilberrylead/policy/region_shares.hpp
@@ -13,45 +13,46 @@
 
 class generator;
 
-/// Where one entry host sends the requests of one service, by region, and
-/// how fast that changes.
+/// Distributes the requests that one entry host receives for one service over
+/// the regions, and bounds how fast the distribution changes.
 ///
-/// Load it answers: a plan that changes at once moves the callers of a
-/// whole region onto upstreams that do not know their objects. The shares
-/// follow the plan at a bounded pace, whoever made it: a new leader, or one
-/// with an older picture, moves nothing faster.
+/// Load it handles: a plan that takes effect at once would move the callers of
+/// a whole region to upstreams that do not have their objects cached. The
+/// shares follow the plan at a bounded rate, whatever its source: a new leader,
+/// or a leader with outdated data, does not move them faster.
 class region_shares
 {
 public:
-    /// Shares that move by at most `pace` a second, summed over the regions
-    /// that lose; 0 to 1.
+    /// The shares change by at most `max_change_per_second` (0 to 1), summed
+    /// over the regions whose shares decrease.
     explicit region_shares(double max_change_per_second);
 
-    /// Sets what is to be reached: a share for each region, always in the
-    /// same order here; they add up to 1. Taken over at once until the first
-    /// request is sent; from then on a region that is new gets its share at
-    /// the same pace as any other.
+    /// Sets the target shares: one for each region, which must keep its index
+    /// between calls; they add up to 1. The target applies at once until the
+    /// first request is assigned; after that, a new region also gains its share
+    /// at the bounded rate.
     void set_target(std::vector<region_target> const& target, instant now);
 
-    /// The region of the next request, about an object (0: about none, so
-    /// that `random` draws one).
+    /// Returns the index of the region of the next request, which is about
+    /// `object` (0: none, so that `random` draws one).
     ///
-    /// An object has its order of regions, the same on every entry host and
-    /// after every restart, so that few upstreams have to know it; as a share
-    /// moves, hardly any object moves but those that the region gains or
-    /// loses. Over any few requests each region gets its share, so that
-    /// chance does not move callers: a region that is ahead is passed over.
+    /// An object ranks the regions in the same order on every entry host and
+    /// after every restart, so that few upstreams need to cache it. When a
+    /// share changes, hardly any objects move except those that the region
+    /// gains or loses. Each region gets its share over any few requests, so
+    /// that random variation does not move callers: a region that is ahead of
+    /// its share is skipped.
     std::size_t next_region(std::uint64_t object, instant now,
                             generator& random);
 
-    /// The shares at work; empty before the first aim.
+    /// The shares in effect; empty before the first set_target().
     std::vector<double> const& current() const
     {
         return this->shares;
     }
 
 private:
-    /// Requests that a region may be ahead of its share.
+    /// Number of requests that a region may be ahead of its share.
     static constexpr double max_lead = 1.5;
 
     void advance_shares(instant now);
--- a/bilberrylead/policy/region_target.hpp
+++ b/bilberrylead/policy/region_target.hpp
@@ -6,13 +6,14 @@
 namespace bilberrylead::policy
 {
 
-/// What share of one entry host's requests is to run in a region.
+/// The target share of one region in the requests of one entry host.
 struct region_target
 {
-    /// Hash of the region's name: objects are spread over regions by it, the
-    /// same way on every entry host and after every restart.
+    /// Hash of the region's name. Rendezvous hashing assigns objects to regions
+    /// by it, so that every entry host gets the same assignment, also after a
+    /// restart.
     std::uint64_t region_hash = 0;
-    /// 0 to 1; those of all regions add up to 1.
+    /// 0 to 1; the shares of all regions add up to 1.
     double share = 0;
 };
 
--- a/bilberrylead/policy/round_robin_choice.hpp
+++ b/bilberrylead/policy/round_robin_choice.hpp
@@ -6,12 +6,12 @@
 namespace bilberrylead::policy
 {
 
-/// Baseline: upstreams that take work in turn. Shares random_choice's fault
-/// under a slow upstream.
+/// Baseline for comparison: the upstreams that accept work, in turn. As with
+/// random_choice, the queue of a slow upstream grows without limit.
 class round_robin_choice
 {
 public:
-    /// Picks the next one; see upstream_choice.
+    /// Selects the next upstream; see upstream_choice.
     std::optional<std::size_t> choose(upstream_set const& set, instant now,
                                       generator& random);
 
--- a/bilberrylead/policy/route_scoped_object.hpp
+++ b/bilberrylead/policy/route_scoped_object.hpp
@@ -8,21 +8,22 @@
 namespace bilberrylead::policy
 {
 
-/// The object of a request for its placement: what the caller named, within
-/// its route. 0 if the caller named none.
+/// Returns the object by which a request is placed: the object that the caller
+/// named, scoped to the route of the request; 0 if the caller named none.
 ///
-/// Load it answers: several routes to one service whose callers name objects
-/// alike. An upstream that read an object for one kind of request has not
-/// prepared it for another. Taken for one object, the kind that comes rarely
-/// is sent where only the frequent kind is known, runs several times as long
-/// there, and makes the upstream look slow. Of the runs of a rare kind 64 of
-/// 339 were slow on upstreams that knew the name from some route, and 1 of
-/// 268 on those that knew it from the same route.
+/// Load it handles: several routes to one service whose callers use the same
+/// object names. An upstream that has loaded an object for one type of request
+/// has not prepared it for another. If both counted as one object, requests of
+/// the rare type would be sent to upstreams that have cached only the frequent
+/// type, would run several times as long there, and would make the upstream
+/// look slow. Of the runs of a rare type, 64 of 339 were slow on upstreams that
+/// had worked on the name for any route, and 1 of 268 on those that had worked
+/// on it for the same route.
 constexpr std::uint64_t route_scoped_object(std::uint64_t route,
                                             std::uint64_t caller_object)
 {
-    // Neighbouring hashes must not lead to neighbouring objects; 0 is kept
-    // for "none".
+    // Similar hashes must not lead to similar objects; 0 is reserved for
+    // "none".
     return caller_object == 0 ? 0
                               : generator(route ^ caller_object).next() | 1U;
 }
--- a/bilberrylead/policy/service_time_estimate.cpp
+++ b/bilberrylead/policy/service_time_estimate.cpp
@@ -12,15 +12,16 @@
 
 constexpr double buckets_per_octave = 4;
 constexpr double first_bucket_end_ns = 64'000;
-/// Samples after which all counts are halved, so that an upstream that got
-/// slow shows within a few thousand answers.
+/// Number of samples at which all bucket counts are halved, so that a slowdown
+/// of the upstream is visible within a few thousand answers.
 constexpr std::uint32_t max_histogram_samples = 8192;
-/// Least weight of one sample in the mean: about the last thousand count,
-/// two to three seconds of a zone's work. Zones compare their waits by their
-/// means; over the last hundred the mean strays by a tenth, which at a wait
-/// of 150 ms is more than what a move within the region costs.
+/// Minimum weight of one sample in the mean. It averages over about the last
+/// thousand samples, which is two to three seconds of the work of a zone. Zones
+/// compare their expected waits by these means. Averaged over a hundred
+/// samples, the mean varies by a tenth, which at a wait of 150 ms is more than
+/// the cost of moving a request within the region.
 constexpr double min_mean_weight = 0.001;
-/// Samples that the first guess stands for.
+/// Number of samples that the initial estimate counts as.
 constexpr std::uint32_t initial_sample_count = 4;
 
 } // namespace
--- a/bilberrylead/policy/service_time_estimate.hpp
+++ b/bilberrylead/policy/service_time_estimate.hpp
@@ -10,29 +10,30 @@
 namespace bilberrylead::policy
 {
 
-/// What service times of late looked like: mean and upper quantiles, from
-/// a histogram that forgets. Admission needs the tail, not only the mean: a
-/// request that is let in with just the mean left misses its deadline every
-/// second time. Fixed memory, no allocation.
+/// Mean and upper quantiles of recent service times, from a histogram in which
+/// old samples lose weight. Admission needs the tail and not only the mean: a
+/// request that is admitted with just the mean service time left misses its
+/// deadline every second time. Fixed memory, no allocation.
 class service_time_estimate
 {
 public:
-    /// Starts from a guess that counts as four samples.
+    /// Starts with an initial estimate that counts as four samples.
     explicit service_time_estimate(
         duration initial_estimate = std::chrono::milliseconds(20));
 
-    /// Takes one measured service time.
+    /// Adds one measured service time.
     void add(duration sample);
 
-    /// Mean of late; over 0.
+    /// Mean of the recent samples; over 0.
     duration mean() const;
 
-    /// The time that `share` (0 to 1) of the samples of late stayed under,
-    /// rounded up to the bucket's end (under a fifth too much).
+    /// The time that a `fraction` (0 to 1) of the recent samples did not
+    /// exceed, rounded up to the end of its bucket (less than a fifth too
+    /// high).
     duration quantile(double fraction) const;
 
 private:
-    /// Four buckets to a factor of two, from 64 microseconds to 17 minutes.
+    /// Four buckets for each factor of two, from 64 microseconds to 17 minutes.
     static constexpr std::size_t bucket_count = 96;
     static std::size_t bucket_of(duration sample);
 
--- a/bilberrylead/policy/upstream_choice.hpp
+++ b/bilberrylead/policy/upstream_choice.hpp
@@ -12,8 +12,9 @@
 namespace bilberrylead::policy
 {
 
-/// Picks the upstream that one request goes to: an index into the set, or
-/// nothing if none takes work. May keep state of its own; allocates nothing.
+/// A load-balancing policy: returns the index in the set of the upstream that
+/// one request is sent to, or nothing if no upstream accepts work. May keep
+/// state of its own; does not allocate.
 template <class Choice>
 concept upstream_choice = requires(Choice choice, upstream_set const& set,
                                    instant now, generator& random) {
--- a/bilberrylead/policy/upstream_condition.hpp
+++ b/bilberrylead/policy/upstream_condition.hpp
@@ -4,16 +4,18 @@
 namespace bilberrylead::policy
 {
 
-/// How far an upstream is trusted with work; see upstream_health.
+/// Health of an upstream, which determines how much work it receives; see
+/// upstream_health.
 enum class upstream_condition
 {
-    /// Takes work in all of its slots.
+    /// Receives work in all of its slots.
     healthy,
-    /// Failed lately; takes work, but only after healthy ones.
+    /// Failed recently; receives work only after healthy upstreams.
     suspected,
-    /// Takes no work.
+    /// Receives no work.
     ejected,
-    /// Returns: takes work in a few slots, then in more.
+    /// Recovering from ejection or starting: receives work in one slot, then
+    /// gradually in more.
     probing,
 };
 
--- a/bilberrylead/policy/upstream_estimate.cpp
+++ b/bilberrylead/policy/upstream_estimate.cpp
@@ -11,21 +11,23 @@
 namespace
 {
 
-/// Weight of the newest report. What others hold changes with each of their
-/// requests, three or so at a time: half of the newest and half of the ones
-/// before is steadier than either.
+/// Weight of the newest report. The number of requests from other entry hosts
+/// is about three and changes with each of them; the average of the newest
+/// report and the previous estimate varies less than either.
 constexpr double report_weight = 0.5;
-/// Weight of the newest run: about the last five, since single runs differ
-/// by a third.
+/// Weight of the newest run. It averages over about the last five runs, since
+/// run times of single requests differ by a third.
 constexpr double run_weight = 0.2;
-/// Ages at which a report and a run count for a third: several service
-/// times for what others hold; long enough for slowness that a slow
-/// upstream is not tried by every second request.
+/// Time constants of the exponential decay towards the sibling mean: the age at
+/// which a report or a run has a weight of 1/e, about a third. A report stays
+/// relevant for several service times. The slowdown decays slowly enough that a
+/// slow upstream does not receive every second request.
 constexpr std::chrono::duration<double> report_time_constant{1.0};
 constexpr std::chrono::duration<double> run_time_constant{4.0};
 constexpr double min_slowdown = 0.25;
 constexpr double max_slowdown = 16;
-/// What a full upstream holds beyond its slots, at least.
+/// Minimum number of requests beyond its slots that a full upstream is assumed
+/// to hold.
 constexpr double min_excess_when_full = 1;
 
 double decay_weight(instant recorded_at, instant now,
@@ -51,10 +53,11 @@
     this->has_run = true;
 }
 
-void upstream_estimate::record_report(std::uint32_t held, std::uint32_t own,
-                                      instant now)
+void upstream_estimate::record_report(std::uint32_t held,
+                                      std::uint32_t from_this_host, instant now)
 {
-    double const held_by_others_now = held > own ? held - own : 0;
+    double const held_by_others_now =
+        held > from_this_host ? held - from_this_host : 0;
     this->mean_held_by_others =
         this->has_report ? this->mean_held_by_others +
                                report_weight * (held_by_others_now -
@@ -64,10 +67,11 @@
     this->has_report = true;
 }
 
-void upstream_estimate::record_refusal(std::uint32_t slots, std::uint32_t own,
+void upstream_estimate::record_refusal(std::uint32_t slots,
+                                       std::uint32_t from_this_host,
                                        instant now)
 {
-    double const full = slots + min_excess_when_full - own;
+    double const full = slots + min_excess_when_full - from_this_host;
     this->mean_held_by_others =
         std::max({this->mean_held_by_others, full, 0.0});
     this->last_report_at = now;
--- a/bilberrylead/policy/upstream_estimate.hpp
+++ b/bilberrylead/policy/upstream_estimate.hpp
@@ -8,28 +8,36 @@
 namespace bilberrylead::policy
 {
 
-/// What one entry host believes of an upstream that others use as well: how
-/// much of it they hold, and how slow it is against its siblings. Both come
-/// from answers, so they are as old as the last one; with age they move
-/// towards what is usual, so that an upstream that was busy or slow once is
-/// tried again. Fixed memory, no allocation.
+/// One entry host's estimate of an upstream that is shared with other entry
+/// hosts: the number of requests it holds for them, and its run time relative
+/// to its siblings, the other upstreams of its group. Both come from answers
+/// and are as old as the last answer. With age they decay to the mean of the
+/// siblings, so that an upstream that was busy or slow is tried again. Fixed
+/// memory, no allocation.
 class upstream_estimate
 {
 public:
-    /// It worked so long on a request, where its siblings usually need
-    /// `usual` (over 0).
+    /// Records that the upstream ran a request for `run_time`, where the mean
+    /// run time of its siblings is `sibling_mean` (over 0).
     void record_run(duration run_time, duration sibling_mean, instant now);
 
-    /// It holds so many requests in all, `own` of them from this host.
-    void record_report(std::uint32_t held, std::uint32_t own, instant now);
+    /// Records that the upstream reported `held` requests in total,
+    /// of which `from_this_host` are from this entry host.
+    void record_report(std::uint32_t held, std::uint32_t from_this_host,
+                       instant now);
 
-    /// It turned a request away: it is full, whatever it said before.
-    void record_refusal(std::uint32_t slots, std::uint32_t own, instant now);
+    /// Records that the upstream refused a request. It is then assumed to be
+    /// full, regardless of its earlier reports. `from_this_host` is the number
+    /// of this entry host's requests that it holds.
+    void record_refusal(std::uint32_t slots, std::uint32_t from_this_host,
+                        instant now);
 
-    /// Requests of others that it holds, where its siblings hold `usual`.
+    /// Estimated requests from other entry hosts that the upstream holds, where
+    /// the mean of its siblings is `sibling_mean`.
     double held_by_others(double sibling_mean, instant now) const;
 
-    /// How many times slower than its siblings it is, 0.25 to 16.
+    /// Run time relative to the siblings, 0.25 to 16; over 1 if the upstream is
+    /// slower.
     double slowdown(instant now) const;
 
 private:
--- a/bilberrylead/policy/upstream_health.cpp
+++ b/bilberrylead/policy/upstream_health.cpp
@@ -18,7 +18,7 @@
 
 namespace front = boost::msm::front;
 
-/// An event with the time it happened at.
+/// An event and the time at which it occurred.
 template <class Event>
 struct timed_event
 {
@@ -26,8 +26,8 @@
     instant now;
 };
 
-/// States in the order in which the transition table first names them,
-/// which is the order MSM numbers them in.
+/// States in the order in which the transition table first names them, which is
+/// the order in which MSM numbers them.
 constexpr std::array condition_of_state = {
     upstream_condition::healthy, upstream_condition::suspected,
     upstream_condition::ejected, upstream_condition::probing};
@@ -149,8 +149,8 @@
               class Guard = front::none>
     using row = front::Row<From, Event, To, Action, Guard>;
 
-    // MSM tries the rows of one state and event from the last to the first:
-    // the guarded row stands below the one that holds otherwise.
+    // MSM tries the rows of one state and event from last to first: a guarded
+    // row stands below the unguarded row that applies otherwise.
     struct transition_table
         : boost::mpl::vector<
               row<healthy, failed, suspected, count_failure>,
@@ -173,7 +173,7 @@
     template <class Machine, class Event>
     void no_transition(Event const&, Machine&, int)
     {
-        // The other events change nothing in this state.
+        // All other events are ignored in this state.
     }
 };
 
--- a/bilberrylead/policy/upstream_health.hpp
+++ b/bilberrylead/policy/upstream_health.hpp
@@ -12,73 +12,73 @@
 namespace bilberrylead::policy
 {
 
-/// The upstream gave a whole answer in time.
+/// The upstream gave a complete answer in time.
 struct upstream_answered
 {
 };
 
-/// A request to the upstream failed: connection, time, or a broken answer.
-/// An upstream's own "not run" is no failure.
+/// A request to the upstream failed: a connection failure, a time-out or an
+/// invalid answer. An upstream's explicit "not run" answer is not a failure.
 struct upstream_failed
 {
-    /// True if the other upstreams have room for the load without it. See
-    /// may_eject.
+    /// True if the other upstreams have enough free capacity to carry the load
+    /// without this one. See may_eject.
     bool others_have_capacity = true;
 };
 
-/// Time went by; send it before each choice, or on a timer.
+/// Time has passed: ends the ejection once the ejection time is over. Sent
+/// before each choice, or on a timer.
 struct health_timer_elapsed
 {
 };
 
-/// The load needs every slot there is: an ejected upstream is tried again
-/// at once.
+/// The load needs every slot: an ejected upstream is tried again at once.
 struct capacity_exhausted
 {
 };
 
-/// The upstream was started, or joined the configuration.
+/// The upstream was started or added to the configuration.
 struct upstream_started
 {
 };
 
-/// What happens to an upstream's health.
+/// The events of an upstream's health.
 using health_event =
     std::variant<upstream_answered, upstream_failed, health_timer_elapsed,
                  capacity_exhausted, upstream_started>;
 
-/// True if an upstream with `slots` can be spared, while `usable` slots
-/// (its own included) carry `in_use` requests on average. A tenth of what
-/// remains stays free: ejecting down to the last slot turns one upstream's
-/// fault into a queue for everybody.
+/// True if an upstream with `slots` slots can be ejected while `usable` slots
+/// (including its own) carry `in_use` requests on average. A tenth of the
+/// remaining slots must stay free: ejection down to the last slot turns a fault
+/// of one upstream into a queue for all callers.
 bool may_eject(std::uint32_t slots, std::uint32_t usable, double in_use);
 
-/// Life cycle of one upstream's health: healthy, suspected, ejected,
-/// probing, and back.
+/// State machine of one upstream's health: healthy, suspected, ejected,
+/// probing, and healthy again.
 ///
-/// Load it answers: an upstream that fails fast draws work to itself, since
-/// it always looks idle; and a cold one, given its full share at once,
-/// answers nothing in time. Without ejection a third of the callers may meet
-/// the one broken upstream; without the check for room a fault that touches
-/// all upstreams (a slow database behind them) ejects them one after the
-/// other until the last one carries the whole load.
+/// Load it handles: an upstream that fails fast attracts requests, since it
+/// always looks idle; and a cold upstream that receives its full share at once
+/// answers nothing in time. Without ejection, a third of the callers may be
+/// sent to the one broken upstream. Without the check for free capacity, a
+/// fault that affects all upstreams (such as a slow database behind them)
+/// ejects them one after the other until the last one carries the whole load.
 class upstream_health
 {
 public:
-    /// Starts healthy.
+    /// Starts healthy, with `slots` slots (over 0).
     explicit upstream_health(std::uint32_t slots,
                              upstream_health_settings const& settings = {});
     ~upstream_health();
     upstream_health(upstream_health&& other) noexcept;
     upstream_health& operator=(upstream_health&& other) noexcept;
 
-    /// Takes one event and returns the condition after it.
+    /// Processes one event and returns the resulting condition.
     upstream_condition reduce(health_event const& event, instant now);
 
-    /// The condition now.
+    /// The current condition.
     upstream_condition condition() const;
 
-    /// Slots that may be used in this condition, 0 to all.
+    /// Slots that may be used in the current condition, 0 to all.
     std::uint32_t usable_slots() const;
 
 private:
--- a/bilberrylead/policy/upstream_health_settings.hpp
+++ b/bilberrylead/policy/upstream_health_settings.hpp
@@ -12,16 +12,18 @@
 /// Settings of upstream_health.
 struct upstream_health_settings
 {
-    /// Failures in a row that eject. Three: its three slots have each seen
-    /// one, so it is the upstream and not one request.
+    /// Consecutive failures that eject an upstream. With three slots, three
+    /// failures mean that each slot has failed once, which points to the
+    /// upstream rather than to one request.
     std::uint32_t failures_to_eject = 3;
-    /// How long an ejected upstream gets no work; doubles each time that
-    /// its return fails. Ten probes' time.
+    /// How long an ejected upstream receives no work; doubled each time that
+    /// probing fails. 500 ms is the time of ten probes.
     duration base_ejection_time = std::chrono::milliseconds(500);
-    /// Longest such pause, so that a repaired upstream is back in seconds.
+    /// Upper bound of the ejection time, so that a repaired upstream returns
+    /// within seconds.
     duration max_ejection_time = std::chrono::seconds(8);
-    /// Answers in a row for each further slot on its return: a cold start
-    /// meets one request at a time until it has answered some.
+    /// Consecutive answers after which a probing upstream gets one more slot: a
+    /// cold upstream receives one request at a time until it has answered some.
     std::uint32_t answers_per_slot = 5;
 };
 
--- a/bilberrylead/policy/upstream_placement.cpp
+++ b/bilberrylead/policy/upstream_placement.cpp
@@ -12,8 +12,8 @@
 namespace
 {
 
-/// Mixes an object with an upstream; the largest result is the object's
-/// first upstream.
+/// Weight of an upstream for an object in rendezvous hashing; the upstream with
+/// the largest weight is the object's first choice.
 std::uint64_t rendezvous_weight(std::uint64_t object, std::uint64_t upstream)
 {
     return generator(object ^ upstream).next();
@@ -74,7 +74,8 @@
                                       preferred_upstreams const& preferred,
                                       placement_request const& request) const
 {
-    // Other entry hosts send the object to its first upstream as well.
+    // Other entry hosts send the object to its first-choice upstream as well,
+    // so it is likely cached there.
     if (request.object == 0 || candidate.likely_cached ||
         preferred.first == index)
     {
@@ -121,7 +122,8 @@
             2 * candidate.one_way_latency + wait + run + candidate.penalty;
         if (candidate.tried)
         {
-            // Another upstream first, this one before a refusal.
+            // Prefers any other upstream, but uses this one rather than
+            // refusing the request.
             completion += request.time_to_deadline;
         }
         if (best.has_value() && completion > best->completion)
--- a/bilberrylead/policy/upstream_placement.hpp
+++ b/bilberrylead/policy/upstream_placement.hpp
@@ -17,28 +17,29 @@
 
 class generator;
 
-/// Chooses the upstream of a request that many entry hosts could send
-/// anywhere, without any of them knowing the others' requests.
+/// Selects the upstream of a request when many entry hosts share all upstreams
+/// and none of them sees the others' requests.
 ///
-/// Load it answers: requests about objects, on upstreams that are faster
-/// with an object which they handled lately, near or beyond what all slots
-/// carry. Sent by load alone every upstream sees every object, none is in
-/// its cache, and the same slots serve less. Sent by object alone, one
-/// popular object fills one upstream. Here each object has an order of
-/// upstreams, the same on all entry hosts (rendezvous hashing: few objects
-/// move when an upstream comes or goes), and a request goes where it is
-/// expected to be answered first: the wait for a slot, the run, longer
-/// where the object is not known, and the way there and back.
+/// Load it handles: requests about objects, near or beyond the capacity of all
+/// slots, on upstreams that are faster with an object that they worked on
+/// recently. With selection by load alone, every upstream receives every
+/// object, no object stays in a cache, and the same slots serve fewer requests.
+/// With selection by object alone, one popular object overloads one upstream.
+/// Here each object ranks the upstreams in the same order on all entry hosts
+/// (rendezvous hashing: few objects move when an upstream is added or removed),
+/// and a request goes to the upstream with the least expected completion time:
+/// the wait for a slot, the run time, which is longer where the object is not
+/// cached, and the network round trip.
 ///
-/// What would come too late everywhere is refused at once: a slot that
-/// works on it would make the next ones late as well.
+/// A request that would complete too late on every upstream is refused at once:
+/// a slot that works on it would delay the following requests as well.
 class upstream_placement
 {
 public:
-    /// Places by `settings`.
+    /// Creates a placement that follows `settings`.
     explicit upstream_placement(placement_settings const& settings = {});
 
-    /// Decides for one request.
+    /// Selects the upstream of one request, or refuses the request.
     placement_verdict place(std::span<placement_candidate const> candidates,
                             placement_request const& request,
                             generator& random) const;
@@ -47,7 +48,8 @@
     static duration expected_wait(placement_candidate const& candidate);
 
 private:
-    /// The first two upstreams of an object in one region.
+    /// Indexes of the first-choice and second-choice upstreams of an object in
+    /// one region.
     struct preferred_upstreams
     {
         std::optional<std::size_t> first;
--- a/bilberrylead/policy/upstream_set.hpp
+++ b/bilberrylead/policy/upstream_set.hpp
@@ -8,11 +8,11 @@
 namespace bilberrylead::policy
 {
 
-/// The upstreams of one service as one entry host sees them, in the order
-/// of the configuration. An index into it is what a choice returns.
+/// The upstreams of one service as known to one entry host, in the order of the
+/// configuration. A load-balancing policy returns an index into it.
 struct upstream_set
 {
-    /// All of them, those included that take no work now.
+    /// All upstreams, including those that do not accept work now.
     std::vector<upstream_view> upstreams;
 };
 
--- a/tests/unit/policy/choice_and_retry_test.cpp
+++ b/tests/unit/policy/choice_and_retry_test.cpp
@@ -40,7 +40,7 @@
 
 } // namespace
 
-Test(upstream_choice, leaving_ejected_and_forbidden_upstreams_get_nothing)
+Test(upstream_choice, leaving_ejected_and_excluded_upstreams_get_no_requests)
 {
     upstream_set set = three_upstreams();
     set.upstreams[0].leaving = true;
@@ -53,7 +53,8 @@
     cr_assert_not(choose(least_completion_choice(), set).has_value());
 }
 
-Test(least_completion_choice, slow_upstream_comes_last_until_others_are_full)
+Test(least_completion_choice,
+     slow_upstream_is_selected_last_until_others_are_full)
 {
     upstream_set set = three_upstreams();
     set.upstreams[0].service_time = 100ms;
@@ -66,8 +67,8 @@
     cr_assert_eq(*choose(least_completion_choice(), set), 0);
 }
 
-// An upstream that reports "idle" whatever it holds must not draw work: the
-// report can only add to the own count.
+// Guards against an upstream that attracts work by reporting "idle" while it is
+// busy: a report may only add to the in-flight count of this entry host.
 Test(least_completion_choice, idle_report_does_not_hide_own_requests)
 {
     upstream_set set = three_upstreams();
@@ -77,7 +78,7 @@
     cr_assert_neq(*choose(least_completion_choice(), set), 0);
 }
 
-Test(least_completion_choice, report_fades_with_its_age)
+Test(least_completion_choice, report_loses_weight_with_age)
 {
     upstream_view view = three_upstreams().upstreams[0];
     least_completion_choice const choice;
@@ -88,9 +89,10 @@
     cr_assert(choice.expected_completion(view) == 20ms);
 }
 
-// A region fails: 1,000 requests, none succeeds. Without the budget each of
-// them is sent three times, and what still works gets three times the load.
-Test(retry_budget, failing_region_is_not_multiplied)
+// A region fails: none of 1,000 requests succeeds. Without the retry budget,
+// each request would be sent three times and triple the load on the upstreams
+// that still work.
+Test(retry_budget, retries_do_not_multiply_the_load_on_a_failing_region)
 {
     retry_budget budget;
     generator random(1);
@@ -118,7 +120,7 @@
     cr_assert(budget.ask(question, instant{}, random));
 }
 
-Test(retry_budget, retry_beyond_the_deadline_or_attempts_is_given_up)
+Test(retry_budget, retry_beyond_the_deadline_or_attempts_is_abandoned)
 {
     retry_budget budget;
     generator random(1);
--- a/tests/unit/policy/connection_losses_test.cpp
+++ b/tests/unit/policy/connection_losses_test.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-Test(connection_losses, requests_of_an_upstream_that_ended_are_named_once)
+Test(connection_losses, requests_of_an_upstream_that_ended_are_returned_once)
 {
     connection_losses losses;
     cr_expect(losses.record_loss(upstream, 1, start) ==
@@ -33,8 +33,8 @@
     cr_expect(losses.unresolved().empty());
 }
 
-// Guards against reset connections that are taken for crashes.
-Test(connection_losses, requests_of_a_reset_connection_are_forgotten)
+// Guards against counting reset connections as crashes.
+Test(connection_losses, requests_of_a_reset_connection_are_discarded)
 {
     connection_losses losses;
     losses.record_loss(upstream, 1, start);
--- a/tests/unit/policy/recent_peak_test.cpp
+++ b/tests/unit/policy/recent_peak_test.cpp
@@ -15,9 +15,10 @@
 
 } // namespace
 
-// The host that counts is replaced; its successor hears a tenth of the others
-// at first. Shares by its count would add up to ten times the bound.
-Test(recent_peak, smaller_count_of_a_successor_does_not_count_at_once)
+// Guards against shares that add up to ten times the bound: the host that
+// counts is replaced, and its successor at first receives messages from only a
+// tenth of the other hosts.
+Test(recent_peak, smaller_count_of_a_successor_is_ignored_at_first)
 {
     recent_peak peak(10s);
     cr_expect_eq(peak.record(270, start), 270U);
@@ -26,7 +27,7 @@
     cr_expect_eq(peak.record(269, start + 9s), 270U);
 }
 
-Test(recent_peak, count_that_stays_smaller_is_taken_in_the_end)
+Test(recent_peak, count_that_stays_smaller_is_accepted_after_the_window)
 {
     recent_peak peak(10s);
     peak.record(270, start);
@@ -35,7 +36,7 @@
     cr_expect_eq(peak.record(180, start + 20s), 180U);
 }
 
-Test(recent_peak, larger_count_is_taken_at_once)
+Test(recent_peak, larger_count_is_accepted_at_once)
 {
     recent_peak peak(10s);
     peak.record(10, start);
--- a/tests/unit/policy/region_plan_test.cpp
+++ b/tests/unit/policy/region_plan_test.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-Test(plan_regions, requests_stay_at_home_while_there_is_room)
+Test(plan_regions, requests_stay_in_their_region_while_it_has_capacity)
 {
     std::vector<region_capacity> const regions{{5, 24}, {2, 6}, {5, 18}};
     std::vector<std::vector<double>> const shares = plan_regions(regions);
@@ -41,21 +41,22 @@
     }
 }
 
-// A third of the callers, an eighth of the slots.
-Test(plan_regions, what_a_region_lacks_goes_where_there_is_room)
+// The second region has a third of the callers and an eighth of the slots.
+Test(plan_regions, excess_demand_goes_to_regions_with_spare_capacity)
 {
     std::vector<region_capacity> const regions{
         {8, 24, 3}, {8, 6, 3}, {8, 18, 3}};
     std::vector<std::vector<double>> const shares = plan_regions(regions);
     cr_expect(shares[1][1] < 0.5);
-    cr_expect(shares[1][0] > shares[1][2], "more goes where more is spare");
+    cr_expect(shares[1][0] > shares[1][2],
+              "a region with more spare capacity gets a larger share");
     cr_expect(is_near(shares[1][0] + shares[1][1] + shares[1][2], 1));
     cr_expect(is_near(shares[0][0], 1));
 }
 
-// More is asked for than all regions have: callers of a region with few
-// slots must not be the only ones that are refused.
-Test(plan_regions, overload_leaves_every_region_the_same_part)
+// The demand exceeds the capacity of all regions. Guards against refusing only
+// the callers of a region with few slots.
+Test(plan_regions, overload_serves_the_same_share_of_every_region)
 {
     std::vector<region_capacity> const regions{{30, 24}, {30, 6}, {30, 18}};
     std::vector<std::vector<double>> const shares = plan_regions(regions);
@@ -65,19 +66,20 @@
     cr_expect(is_near(shares[0][0], 1));
 }
 
-Test(plan_regions, region_without_callers_or_slots_is_no_division_by_zero)
+Test(plan_regions, region_without_callers_or_slots_does_not_divide_by_zero)
 {
     std::vector<region_capacity> const regions{{0, 0}, {10, 0}, {0, 30}};
     std::vector<std::vector<double>> const shares = plan_regions(regions);
     cr_expect(is_near(shares[0][0], 1));
     cr_expect(is_near(shares[1][2], 1));
-    std::vector<region_capacity> const nothing{{5, 0}, {5, 0}};
-    cr_expect(is_near(plan_regions(nothing)[0][0], 1));
+    std::vector<region_capacity> const without_slots{{5, 0}, {5, 0}};
+    cr_expect(is_near(plan_regions(without_slots)[0][0], 1));
 }
 
-// Callers of a region with few slots hear "not run" in the first seconds:
-// nothing has run yet, so no demand is known, all of them start at home, and
-// the bounded pace needs ten seconds to move them.
+// Guards against callers of a region with few slots that receive "not run" in
+// the first seconds after a start. No request has run yet, so no demand is
+// known; with all requests starting in their own region, the bounded
+// rate of change would need ten seconds to move them.
 Test(plan_regions, region_with_few_slots_is_relieved_before_demand_is_known)
 {
     std::vector<region_capacity> const regions{
@@ -89,19 +91,21 @@
     cr_expect(is_near(shares[2][2], 1));
 }
 
-// The first few requests must not bring everybody home again.
-Test(plan_regions, little_demand_does_not_undo_what_is_expected)
+// Guards against a plan that returns all requests to their own regions once the
+// first few requests have been measured.
+Test(plan_regions, low_measured_demand_does_not_override_expected_demand)
 {
-    std::vector<region_capacity> const calm{
+    std::vector<region_capacity> const without_demand{
         {0, 99, 25}, {0, 396, 22}, {0, 468, 24}};
-    std::vector<region_capacity> const starting{
+    std::vector<region_capacity> const with_first_demand{
         {20, 99, 25}, {18, 396, 22}, {19, 468, 24}};
-    double const before = plan_regions(calm)[0][0];
-    cr_expect_lt(std::abs(plan_regions(starting)[0][0] - before), 0.05);
+    double const before = plan_regions(without_demand)[0][0];
+    cr_expect_lt(std::abs(plan_regions(with_first_demand)[0][0] - before),
+                 0.05);
 }
 
-// What is measured counts as soon as it is as much as was expected.
-Test(plan_regions, measured_demand_replaces_what_is_expected)
+// The expected demand has no effect once the measured demand reaches it.
+Test(plan_regions, measured_demand_replaces_expected_demand)
 {
     std::vector<region_capacity> const hosts{
         {13, 24, 50}, {13, 6, 1}, {13, 18, 1}};
@@ -110,9 +114,9 @@
     cr_expect(is_near(plan_regions(hosts)[1][1], plan_regions(none)[1][1]));
 }
 
-// A leader that took over plans from an empty picture, or traffic of a
-// region doubles: the callers must not move all at once.
-Test(region_shares, plan_that_jumps_is_followed_at_the_bounded_pace)
+// Guards against moving all callers at once when the plan changes abruptly: a
+// new leader plans from incomplete data, or the traffic of a region doubles.
+Test(region_shares, abrupt_plan_change_is_followed_at_the_bounded_rate)
 {
     region_shares shares(0.05);
     shares.set_target({{10, 1}, {11, 0}, {12, 0}}, start);
@@ -125,17 +129,17 @@
     cr_expect(is_near(shares.current()[1], 0.5));
 }
 
-Test(region_shares, first_plan_is_taken_over_at_once)
+Test(region_shares, first_plan_takes_effect_at_once)
 {
     region_shares shares(0.05);
     shares.set_target({{10, 0.4}, {11, 0.6}}, start);
     cr_expect(is_near(shares.current()[0], 0.4));
 }
 
-// An entry host hears of the upstreams of a third region after its first
-// plan. Taken over at once, the new plan would move half of the callers of a
-// region within a second, wherever hosts learn of it together.
-Test(region_shares, region_that_is_new_gets_its_share_at_the_bounded_pace)
+// An entry host discovers the upstreams of a third region after its first plan.
+// If the new plan took effect at once, half of the callers of a region would
+// move within a second wherever hosts discover the region together.
+Test(region_shares, new_region_gains_its_share_at_the_bounded_rate)
 {
     region_shares shares(0.05);
     shares.set_target({{10, 0.7}, {11, 0.3}}, start);
@@ -147,9 +151,9 @@
     cr_expect(is_near(shares.current()[2], 0.5));
 }
 
-// A region is emptied. What it was behind when its share ended is not made up
-// for: its callers would find no upstream there.
-Test(region_shares, region_that_lost_its_share_gets_nothing_more)
+// A region is emptied. Guards against making up for the requests that it was
+// behind when its share ended: the region has no upstream for them.
+Test(region_shares, region_that_lost_its_share_gets_no_more_requests)
 {
     region_shares shares(0.05);
     shares.set_target({{10, 0.3}, {11, 0.3}, {12, 0.4}}, start);
@@ -168,8 +172,8 @@
     cr_expect_leq(elsewhere, 2);
 }
 
-// Chance alone moves one request in ten from one second to the next, which
-// callers would see as a shift of their region.
+// Guards against random variation, which alone would move one request in ten
+// from one second to the next; callers would see it as a shift of their region.
 Test(region_shares, every_few_requests_keep_the_shares)
 {
     region_shares shares(0.05);
@@ -185,8 +189,8 @@
     }
 }
 
-// Guards against hosts whose turns among regions begin alike: the first
-// requests of all of them would run in one region.
+// Guards against hosts that all start their sequence of regions alike: the
+// first requests of all of them would run in one region.
 Test(region_shares, first_requests_of_many_hosts_keep_the_shares)
 {
     constexpr int hosts = 400;
@@ -201,8 +205,8 @@
     cr_expect_lt(std::abs(in_first_region - 0.62 * hosts), 0.1 * hosts);
 }
 
-// Requests without an object are drawn to regions, and over any few of them
-// each region has its share all the same.
+// Requests without an object are assigned to regions at random, but each region
+// still gets its share over any few of them.
 Test(region_shares, every_few_requests_without_an_object_keep_the_shares)
 {
     region_shares shares(0.05);
@@ -229,18 +233,18 @@
                 shares.next_region(object, start, test_random) == 0 ? 1 : 0;
         }
     }
-    int sure = 0;
+    int in_one_region = 0;
     for (int const count : in_first_region)
     {
-        sure += count < 50 || count > 150 ? 1 : 0;
+        in_one_region += count < 50 || count > 150 ? 1 : 0;
     }
-    cr_expect_geq(sure, 12);
+    cr_expect_geq(in_one_region, 12);
 }
 
-// An entry host starts anew and hears of the regions in another order than
-// its neighbours. If it sent objects elsewhere, every object would be known
-// in two regions, and each first run there would be late.
-Test(region_shares, object_has_its_region_in_whatever_order_regions_came)
+// An entry host restarts and discovers the regions in another order than its
+// peers. If it assigned objects differently, every object would be cached in
+// two regions, and each first run there would be late.
+Test(region_shares, object_has_the_same_region_for_any_order_of_regions)
 {
     region_shares first_host(0.05);
     first_host.set_target({{11, 0.5}, {12, 0.3}, {13, 0.2}}, start);
@@ -256,9 +260,9 @@
     }
 }
 
-// The callers of a region move from a second region to a third. Objects that
-// stay at home must not move: nobody knows them elsewhere.
-Test(region_shares, share_that_moves_takes_few_other_objects_along)
+// Share moves from the second region to the third. Objects of the first region
+// must not move: they are not cached in any other region.
+Test(region_shares, share_change_moves_few_other_objects)
 {
     int moved = 0;
     for (std::uint64_t object = 1; object <= 2000; ++object)
@@ -273,10 +277,12 @@
             after.next_region(object * 977, start, test_random);
         moved += old == 0 && chosen != 0 ? 1 : 0;
     }
-    cr_expect_lt(moved, 160, "a tenth of the 800 at home, twice for chance");
+    cr_expect_lt(
+        moved, 160,
+        "a tenth of the 800 objects, doubled to allow for random variation");
 }
 
-Test(arrival_rate, rate_follows_what_arrives)
+Test(arrival_rate, rate_follows_arrivals)
 {
     policy::arrival_rate rate(1500ms);
     for (duration passed{}; passed < 10s; passed += 20ms)
--- a/tests/unit/policy/service_time_estimate_test.cpp
+++ b/tests/unit/policy/service_time_estimate_test.cpp
@@ -8,7 +8,8 @@
 using namespace bilberrylead::policy;
 using namespace std::chrono_literals;
 
-Test(service_time_estimate, first_guess_is_washed_out_by_a_hundred_samples)
+Test(service_time_estimate,
+     initial_estimate_is_negligible_after_a_hundred_samples)
 {
     service_time_estimate estimate(20ms);
     for (int sample = 0; sample < 100; ++sample)
@@ -18,10 +19,10 @@
     cr_assert(estimate.mean() > 5ms && estimate.mean() < 6ms);
 }
 
-// Two zones with the same work would move requests to and fro for the
-// difference between their means. With a weight of 0.01, which counts the
-// last hundred samples, this fails.
-Test(service_time_estimate, mean_of_spread_samples_strays_little)
+// Guards against two equally loaded zones that move requests back and forth
+// because their means differ. Fails with a weight of 0.01, which averages over
+// the last hundred samples.
+Test(service_time_estimate, mean_of_scattered_samples_varies_little)
 {
     service_time_estimate estimate(20ms);
     for (int sample = 0; sample < 5000; ++sample)
@@ -32,7 +33,7 @@
     duration highest = estimate.mean();
     for (int sample = 0; sample < 5000; ++sample)
     {
-        // The same share of long samples, but in clusters of five.
+        // The same fraction of long samples, but in clusters of five.
         estimate.add(sample % 100 < 5 ? 210ms : 10ms);
         lowest = std::min(lowest, estimate.mean());
         highest = std::max(highest, estimate.mean());
--- a/tests/unit/policy/upstream_health_test.cpp
+++ b/tests/unit/policy/upstream_health_test.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-Test(upstream_health, single_failure_when_answered_next_is_forgiven)
+Test(upstream_health, single_failure_followed_by_an_answer_is_cleared)
 {
     health_fixture fixture;
     fixture.fail(1);
@@ -45,7 +45,7 @@
     cr_assert(fixture.health.condition() == upstream_condition::suspected);
 }
 
-Test(upstream_health, failures_in_a_row_when_there_is_room_eject)
+Test(upstream_health, consecutive_failures_eject_if_others_have_capacity)
 {
     health_fixture fixture;
     fixture.fail(3);
@@ -53,11 +53,11 @@
     cr_assert_eq(fixture.health.usable_slots(), 0);
 }
 
-// Callers would see every upstream ejected, one after the other, when what
-// fails lies behind all of them; the last one gets the whole load. With the
-// check for room switched off (room_without_it always true) the loop below
-// ends ejected.
-Test(upstream_health, failures_in_a_row_without_room_keep_it_in_use)
+// Guards against ejecting all upstreams one after the other, until the last one
+// receives the whole load, when the fault is in a system behind all of them.
+// With the check for free capacity disabled (others_have_capacity always true),
+// the loop below ends in the ejected condition.
+Test(upstream_health, consecutive_failures_without_spare_capacity_do_not_eject)
 {
     health_fixture fixture;
     for (int time = 0; time < 10; ++time)
@@ -71,7 +71,7 @@
     cr_assert_not(may_eject(3, 3, 0.0));
 }
 
-Test(upstream_health, ejected_upstream_when_pause_is_over_returns_by_slots)
+Test(upstream_health, ejected_upstream_regains_its_slots_gradually)
 {
     health_fixture fixture;
     fixture.fail(3);
@@ -88,7 +88,7 @@
     cr_assert(fixture.health.condition() == upstream_condition::healthy);
 }
 
-Test(upstream_health, return_that_fails_doubles_the_pause)
+Test(upstream_health, failed_probe_doubles_the_ejection_time)
 {
     health_fixture fixture;
     fixture.fail(3);
@@ -103,7 +103,7 @@
     cr_assert(fixture.health.condition() == upstream_condition::probing);
 }
 
-Test(upstream_health, ejected_upstream_when_room_runs_out_is_tried_at_once)
+Test(upstream_health, exhausted_capacity_starts_probing_at_once)
 {
     health_fixture fixture;
     fixture.fail(3);
--- a/tests/unit/policy/upstream_placement_test.cpp
+++ b/tests/unit/policy/upstream_placement_test.cpp
@@ -26,7 +26,7 @@
 
 instant const start = instant{} + 1h;
 
-/// Upstreams of three slots that run a known object in 72 ms.
+/// Upstreams with three slots that run a request with a cached object in 72 ms.
 std::vector<placement_candidate> idle_upstreams(std::size_t count)
 {
     std::vector<placement_candidate> candidates(count);
@@ -67,8 +67,8 @@
 
 } // namespace
 
-// Two entry hosts that know nothing of each other: an object must find the
-// upstream that has it in its caches from both of them.
+// Two entry hosts without any communication must send an object to the same
+// upstream, which has it cached.
 Test(upstream_placement, object_goes_to_the_same_upstream_from_every_host)
 {
     placement_fixture first_host;
@@ -103,23 +103,24 @@
     }
 }
 
-// One popular object fills the upstream that knows it. Waiting there longer
-// than an unknown run takes elsewhere would be the worse of the two.
-Test(upstream_placement, full_upstream_gives_its_object_to_another)
+// One popular object fills the upstream that has it cached. Guards against
+// waiting there longer than a run with a cold cache takes elsewhere.
+Test(upstream_placement, object_of_a_full_upstream_goes_to_another)
 {
     placement_fixture host;
     std::vector<placement_candidate> upstreams = idle_upstreams(4);
     std::size_t const first = host.index(upstreams, request_for(5));
     upstreams[first].in_flight = 3;
     cr_expect_eq(host.index(upstreams, request_for(5)), first,
-                 "a short wait is better than an unknown run");
+                 "a short wait is better than a run with a cold cache");
     upstreams[first].in_flight = 40;
     cr_expect_neq(host.index(upstreams, request_for(5)), first);
 }
 
-// Saturation: every answer would come too late. The caller hears so at
-// once, and when room is expected.
-Test(upstream_placement, overload_is_refused_with_the_time_until_room)
+// Saturation: every answer would be too late. The caller is refused at once and
+// receives the time until free capacity is expected.
+Test(upstream_placement,
+     overload_is_refused_with_the_time_until_capacity_is_free)
 {
     placement_fixture host;
     std::vector<placement_candidate> upstreams = idle_upstreams(4);
@@ -135,11 +136,12 @@
     cr_expect(full->retry_after < 2s);
 }
 
-// A crowd is refused within a moment. A caller that came back before there
-// was room would be refused again, and has no third try; all of them at the
-// same moment would fill the room for each other.
+// Many callers are refused at about the same time. Guards against retries
+// before there is free capacity, which would be refused again although callers
+// have no third attempt, and against simultaneous retries, which would take the
+// free capacity from each other.
 Test(upstream_placement,
-     refused_crowd_comes_back_spread_and_after_room_is_there)
+     refused_callers_retry_spread_out_after_capacity_is_free)
 {
     placement_fixture host;
     std::vector<placement_candidate> upstreams = idle_upstreams(4);
@@ -155,16 +157,18 @@
         placement_verdict const verdict = host.place(upstreams, request_for(5));
         policy::no_free_capacity const& full =
             std::get<policy::no_free_capacity>(verdict);
-        // What of the 250 ms is left beside the run may be waited.
+        // The part of the 250 ms that the run does not need may be spent
+        // waiting.
         until_capacity = full.wait - (250ms - 72ms);
         earliest = std::min(earliest, full.retry_after);
         latest = std::max(latest, full.retry_after);
     }
     cr_expect(earliest > until_capacity);
-    cr_expect(latest - earliest > until_capacity, "spread over as long again");
+    cr_expect(latest - earliest > until_capacity,
+              "the spread is longer than the time until capacity is free");
 }
 
-Test(upstream_placement, request_that_cannot_make_its_deadline_is_refused)
+Test(upstream_placement, request_that_cannot_meet_its_deadline_is_refused)
 {
     placement_fixture host;
     placement_request request = request_for(5);
@@ -191,7 +195,7 @@
         host.place(upstreams, request_for(5))));
 }
 
-Test(upstream_placement, second_try_goes_to_another_upstream)
+Test(upstream_placement, second_attempt_goes_to_another_upstream)
 {
     placement_fixture host;
     std::vector<placement_candidate> upstreams = idle_upstreams(2);
@@ -200,9 +204,9 @@
     cr_expect_neq(host.index(upstreams, request_for(5)), first);
 }
 
-// Four times as slow, then sound again: it must be avoided within some
-// answers, and tried again without anybody's word.
-Test(upstream_estimate, slow_upstream_is_seen_and_forgiven)
+// An upstream is four times as slow for a while. It must be avoided after a few
+// answers and, without any external signal, tried again later.
+Test(upstream_estimate, slowdown_is_detected_and_decays)
 {
     policy::upstream_estimate estimate;
     for (int run = 0; run < 10; ++run)
@@ -213,7 +217,7 @@
     cr_expect_lt(estimate.slowdown(start + 20s), 1.1);
 }
 
-Test(upstream_estimate, report_fades_towards_what_is_usual)
+Test(upstream_estimate, report_decays_towards_the_sibling_mean)
 {
     policy::upstream_estimate estimate;
     cr_expect_eq(estimate.held_by_others(1.5, start), 1.5);
@@ -222,15 +226,15 @@
     cr_expect_lt(estimate.held_by_others(1.5, start + 5s), 1.6);
 }
 
-Test(upstream_estimate, upstream_that_turned_a_request_away_counts_as_full)
+Test(upstream_estimate, upstream_that_refused_a_request_counts_as_full)
 {
     policy::upstream_estimate estimate;
     estimate.record_refusal(3, 1, start);
     cr_expect_eq(estimate.held_by_others(0, start), 3);
 }
 
-// Eleven entry hosts, one cold upstream: in any second they send no more
-// than their shares add up to.
+// Eleven entry hosts and one cold upstream: in any second the hosts send no
+// more than the sum of their shares.
 Test(rate_limit, hosts_together_keep_the_bound_of_a_cold_upstream)
 {
     constexpr double share = 0.5;
@@ -259,7 +263,7 @@
     cr_expect_gt(sent.size(), 25U);
 }
 
-Test(recent_objects, oldest_object_gives_way)
+Test(recent_objects, least_recently_used_object_is_evicted)
 {
     policy::recent_objects objects;
     cr_expect_not(objects.contains(0));
