--- a/bilberrylead/policy/arrival_rate.hpp
+++ b/bilberrylead/policy/arrival_rate.hpp
@@ -9,27 +9,27 @@
 namespace bilberrylead::policy
 {
 
-/// Arrivals a second of late: each counts for less with age.
+/// Arrivals per second as an exponentially decaying average.
 class arrival_rate
 {
 public:
-    /// A rate over about the last `memory`, over 0.
-    explicit arrival_rate(std::chrono::duration<double> memory)
-        : time_constant(memory)
+    /// Averages over about the last `averaging_time`, over 0.
+    explicit arrival_rate(std::chrono::duration<double> averaging_time)
+        : time_constant(averaging_time)
     {
     }
 
-    /// One arrived.
+    /// Counts one arrival.
     void add(instant now)
     {
         this->rate = this->per_second(now) + 1.0 / this->time_constant.count();
-        this->counted_at = now;
+        this->updated_at = now;
     }
 
-    /// Arrivals a second.
+    /// Arrivals per second at `now`.
     double per_second(instant now) const
     {
-        std::chrono::duration<double> const age = now - this->counted_at;
+        std::chrono::duration<double> const age = now - this->updated_at;
         return this->rate *
                std::exp(-age.count() / this->time_constant.count());
     }
@@ -37,7 +37,7 @@
 private:
     std::chrono::duration<double> time_constant;
     double rate = 0;
-    instant counted_at{};
+    instant updated_at{};
 };
 
 } // namespace bilberrylead::policy
--- /dev/null
+++ b/bilberrylead/policy/connection_losses.hpp
@@ -0,0 +1,59 @@
+#ifndef BILBERRYLEAD_POLICY_CONNECTION_LOSSES_HPP
+#define BILBERRYLEAD_POLICY_CONNECTION_LOSSES_HPP
+
+#include "bilberrylead/core/ids.hpp"
+#include "bilberrylead/core/time.hpp"
+#include "bilberrylead/policy/connection_loss_action.hpp"
+
+#include <cstdint>
+#include <map>
+#include <set>
+#include <vector>
+
+namespace bilberrylead::policy
+{
+
+/// Distinguishes upstreams that ended from connections that were reset.
+///
+/// Failure it handles: a lost connection does not show whether its upstream
+/// ended. If reset connections counted as crashes, harmless requests would be
+/// classified as crashing. A loss therefore counts only once the upstream has
+/// refused a connection or is no longer listed.
+class connection_losses
+{
+public:
+    /// Records that the connection of a request to the upstream was lost while
+    /// the request may have been running there.
+    connection_loss_action record_loss(upstream_id const& upstream,
+                                       std::uint64_t digest, instant now);
+
+    /// Records that the upstream refused a connection or is no longer listed.
+    /// Returns the digests of the requests that it may have been running.
+    std::vector<std::uint64_t> record_ended(upstream_id const& upstream,
+                                            instant now);
+
+    /// Records that the upstream accepted a connection or answered.
+    void record_responsive(upstream_id const& upstream);
+
+    /// Upstreams with a lost connection that are not yet known to have ended or
+    /// to be responsive.
+    std::vector<upstream_id> unresolved() const;
+
+    /// Discards losses that were not confirmed in time, and old records of
+    /// upstreams that ended.
+    void expire(instant now);
+
+private:
+    struct loss
+    {
+        instant updated_at{};
+        bool ended = false;
+        std::set<std::uint64_t> digests;
+    };
+
+    std::map<upstream_id, loss> losses;
+};
+
+} // namespace bilberrylead::policy
+
+#endif
