--- a/bilberrylead/control/control_reducer_relay.cpp
+++ b/bilberrylead/control/control_reducer_relay.cpp
@@ -13,7 +13,7 @@
 {
     if (this->crashes.size() > 0)
     {
-        this->send(to, link::crash_report{this->crashes.all()});
+        this->send(to, link::crash_report{this->crashes.records()});
     }
 }
 
@@ -22,11 +22,11 @@
 {
     policy::crash_merge const merged =
         this->crashes.merge(said.records, this->time);
-    if (!merged.missing_there.empty())
+    if (!merged.missing_at_sender.empty())
     {
-        this->send(from, link::crash_report{merged.missing_there});
+        this->send(from, link::crash_report{merged.missing_at_sender});
     }
-    if (merged.learned.empty())
+    if (merged.changed.empty())
     {
         return;
     }
@@ -34,7 +34,7 @@
     {
         if (number != from)
         {
-            this->send(number, link::crash_report{merged.learned});
+            this->send(number, link::crash_report{merged.changed});
         }
     }
 }
@@ -43,7 +43,7 @@
                           read_crash_records const&)
 {
     crash_records_reply reply;
-    for (policy::crash_record& record : this->crashes.all())
+    for (policy::crash_record& record : this->crashes.records())
     {
         policy::crash_verdict const verdict = this->crashes.verdict_of(record);
         reply.rows.push_back({std::move(record), verdict});
--- a/bilberrylead/daemon/entry_metrics.cpp
+++ b/bilberrylead/daemon/entry_metrics.cpp
@@ -207,10 +207,10 @@
                   static_cast<double>(crashes.size()));
     builder.gauge("bilberry_entry_crashing_requests",
                   "Those of them that are refused.",
-                  static_cast<double>(crashes.refused()));
+                  static_cast<double>(crashes.refused_count()));
     builder.counter("bilberry_entry_crash_records_evicted_total",
                     "Records that were evicted, since there were too many.",
-                    crashes.evicted());
+                    crashes.evicted_count());
     builder.counter("bilberry_entry_unreadable_limits_total",
                     "Answers of upstreams with a limit that is no number.",
                     counters.unreadable_limits);
--- a/bilberrylead/daemon/entry_program.cpp
+++ b/bilberrylead/daemon/entry_program.cpp
@@ -108,7 +108,7 @@
     wanted.entry.steering_ttl = this->settings.steering_ttl;
     if (this->settings.waiting == config::waiting_place::upstream)
     {
-        wanted.entry.retry.earned_by_success =
+        wanted.entry.retry.earned_per_success =
             this->settings.retries.ratio * used_retry_ratio;
         wanted.entry.attempt_share = whole_share;
         wanted.entry.tick = coarse_tick;
--- a/bilberrylead/daemon/entry_program_peers.cpp
+++ b/bilberrylead/daemon/entry_program_peers.cpp
@@ -56,7 +56,7 @@
     this->links[number] = peer;
     this->on_exchange(distribution::link_opened{number, peer});
     std::vector<policy::crash_record> crashes =
-        this->server->crash_history().all();
+        this->server->crash_history().records();
     if (!crashes.empty())
     {
         this->tell_crashes({std::move(crashes), number});
--- a/bilberrylead/daemon/operator_replies.cpp
+++ b/bilberrylead/daemon/operator_replies.cpp
@@ -177,7 +177,7 @@
         for (control::crash_record_row const& row : held.rows)
         {
             json ended = json::array();
-            for (upstream_id const& upstream : row.record.ended)
+            for (upstream_id const& upstream : row.record.ended_upstreams)
             {
                 ended.push_back(upstream.text());
             }
--- a/bilberrylead/entry/entry_reducer_crashes.cpp
+++ b/bilberrylead/entry/entry_reducer_crashes.cpp
@@ -107,7 +107,7 @@
                                upstream_id const& upstream)
 {
     std::optional<policy::crash_record> const changed =
-        this->crashes.note_crash(digest, upstream, this->now);
+        this->crashes.record_crash(digest, upstream, this->now);
     if (changed.has_value())
     {
         this->tell_own_record(*changed);
@@ -136,7 +136,7 @@
 {
     policy::crash_merge merged =
         this->crashes.merge(happened.records, this->now);
-    for (policy::crash_record const& each : merged.learned)
+    for (policy::crash_record const& each : merged.changed)
     {
         policy::crash_verdict const verdict =
             this->crashes.verdict_of(each.digest);
@@ -146,10 +146,10 @@
         }
         this->refuse_crashing(each.digest);
     }
-    if (!merged.missing_there.empty())
+    if (!merged.missing_at_sender.empty())
     {
-        this->out.push_back(
-            tell_crash_records{std::move(merged.missing_there), happened.from});
+        this->out.push_back(tell_crash_records{
+            std::move(merged.missing_at_sender), happened.from});
     }
 }
 
--- a/bilberrylead/entry/entry_reducer_limits.cpp
+++ b/bilberrylead/entry/entry_reducer_limits.cpp
@@ -1,6 +1,6 @@
 #include "bilberrylead/entry/entry_reducer.hpp"
 
-#include "bilberrylead/policy/return_time.hpp"
+#include "bilberrylead/policy/retry_time.hpp"
 
 #include <utility>
 
@@ -71,7 +71,7 @@
     }
     this->refuse(
         request, refusal_reason::no_room,
-        policy::return_time(*wait, this->chosen.placement, state.random));
+        policy::retry_time(*wait, this->chosen.placement, state.random));
 }
 
 } // namespace bilberrylead::entry
--- a/bilberrylead/entry/entry_reducer_placement.cpp
+++ b/bilberrylead/entry/entry_reducer_placement.cpp
@@ -130,7 +130,7 @@
     if (std::optional<duration> const retry_after =
             this->crash_refusal(request))
     {
-        this->crashes.note_repeat(request.digest, this->now);
+        this->crashes.record_repeat(request.digest, this->now);
         this->refuse(request, refusal_reason::crashes_upstreams, *retry_after);
         return;
     }
@@ -229,7 +229,7 @@
 {
     std::size_t const most = request.most_attempts > 0
                                  ? request.most_attempts
-                                 : this->chosen.retry.most_attempts;
+                                 : this->chosen.retry.max_attempts;
     return !request.repeatable || !request.body_kept ||
            request.tried.size() >= most;
 }
--- a/bilberrylead/entry/entry_reducer_upstream.cpp
+++ b/bilberrylead/entry/entry_reducer_upstream.cpp
@@ -228,14 +228,14 @@
     // A request that may not be repeated is never sent again once a byte
     // may have reached an upstream; not even to "make sure".
     service_state& state = this->state_of(request.service);
-    policy::retry_question question;
+    policy::retry_request question;
     question.idempotent = request.repeatable;
-    question.surely_not_run = !request.maybe_ran;
+    question.certainly_not_run = !request.maybe_ran;
     question.attempts = static_cast<unsigned>(request.tried.size());
     question.deadline = request.deadline;
-    question.needed = this->chosen.waiting == config::waiting_place::upstream
-                          ? state.usual_run()
-                          : state.usual_answer();
+    question.run_time = this->chosen.waiting == config::waiting_place::upstream
+                            ? state.usual_run()
+                            : state.usual_answer();
     bool const tries_left = request.most_attempts == 0 ||
                             request.tried.size() < request.most_attempts;
     bool const may_run = !this->crash_refusal(request).has_value();
@@ -244,7 +244,7 @@
     {
         return std::nullopt;
     }
-    return state.budget.ask(question, this->now, state.random);
+    return state.budget.request_retry(question, this->now, state.random);
 }
 
 void entry_reducer::expire_run(live_request& request)
--- a/bilberrylead/entry/service_state.cpp
+++ b/bilberrylead/entry/service_state.cpp
@@ -31,8 +31,8 @@
     policy::admission_queue_settings settings;
     if (length == config::work_length::extended)
     {
-        settings.burst_wait = settings.long_wait;
-        settings.standing_wait = settings.long_wait;
+        settings.max_burst_wait = settings.max_long_wait;
+        settings.max_standing_wait = settings.max_long_wait;
     }
     return settings;
 }
@@ -90,7 +90,7 @@
     for (auto& [reached, queue] : this->queues)
     {
         while (std::optional<policy::waiting_request> const each =
-                   queue.next(endless, now))
+                   queue.pop(endless, now))
         {
             taken_out.push_back(each->ticket);
         }
@@ -186,7 +186,7 @@
             continue;
         }
         std::optional<policy::waiting_request> const first =
-            place->second.next(this->pool(place->first, now), now);
+            place->second.pop(this->pool(place->first, now), now);
         if (first.has_value())
         {
             return first->ticket;
@@ -204,7 +204,7 @@
             continue;
         }
         std::optional<policy::waiting_request> const late =
-            queue.next_expired(this->pool(reached, now), now);
+            queue.pop_expired(this->pool(reached, now), now);
         if (late.has_value())
         {
             return late->ticket;
@@ -275,11 +275,11 @@
     upstream_record& known = this->record(id);
     if (now < known.cold_until)
     {
-        known.cold_tokens.take(this->cold.requests_per_second, now);
+        known.cold_tokens.consume(this->cold.requests_per_second, now);
     }
-    if (known.limit.limits(now))
+    if (known.limit.is_in_force(now))
     {
-        known.limit.take(now, this->random);
+        known.limit.consume(now, this->random);
         this->untold_limits.insert(id);
     }
     ++known.in_flight;
@@ -298,7 +298,7 @@
                                 instant now)
 {
     this->answered.add(took);
-    this->budget.succeeded();
+    this->budget.record_success();
     this->record(id).health.reduce(policy::upstream_answered{}, now);
 }
 
--- a/bilberrylead/entry/service_state_limits.cpp
+++ b/bilberrylead/entry/service_state_limits.cpp
@@ -35,7 +35,7 @@
     policy::shared_limit& known = this->record(report.upstream).limit;
     duration const age = std::max(report.age, duration::zero());
     bool const changed = known.observe(report.per_second, now - age);
-    known.hear(sender, report.sent, now, this->random);
+    known.record_peer_sent(sender, report.sent, now, this->random);
     return changed;
 }
 
--- a/bilberrylead/entry/service_state_placement.cpp
+++ b/bilberrylead/entry/service_state_placement.cpp
@@ -23,7 +23,7 @@
                                double saved_retries)
 {
     this->cold = chosen;
-    this->budget.set_most_saved(saved_retries);
+    this->budget.set_max_saved(saved_retries);
 }
 
 double service_state::demand(instant now) const
--- a/bilberrylead/entry/upstream_record.hpp
+++ b/bilberrylead/entry/upstream_record.hpp
@@ -3,9 +3,9 @@
 
 #include "bilberrylead/core/time.hpp"
 #include "bilberrylead/policy/object_memory.hpp"
-#include "bilberrylead/policy/rate_limit.hpp"
 #include "bilberrylead/policy/service_time_estimate.hpp"
 #include "bilberrylead/policy/shared_limit.hpp"
+#include "bilberrylead/policy/token_bucket.hpp"
 #include "bilberrylead/policy/upstream_estimate.hpp"
 #include "bilberrylead/policy/upstream_health.hpp"
 
@@ -47,7 +47,7 @@
     /// Objects that this host had it work on.
     policy::object_memory objects;
     /// What this host may send it while it is cold.
-    policy::rate_limit cold_tokens;
+    policy::token_bucket cold_tokens;
     /// What it takes from all entry hosts together.
     policy::shared_limit limit;
     /// Answer by which the limit was told to the other entry hosts last.
--- a/bilberrylead/http/decision_log.cpp
+++ b/bilberrylead/http/decision_log.cpp
@@ -98,8 +98,8 @@
         .text("digest", digest_text(changed.record.digest))
         .number("generation",
                 static_cast<std::int64_t>(changed.record.generation))
-        .text("ended", names_of(changed.record.ended.begin(),
-                                changed.record.ended.end()))
+        .text("ended", names_of(changed.record.ended_upstreams.begin(),
+                                changed.record.ended_upstreams.end()))
         .text("verdict", policy::to_string(changed.verdict))
         .text("source", changed.heard ? "heard" : "own")
         .write();
--- a/bilberrylead/http/server_core.hpp
+++ b/bilberrylead/http/server_core.hpp
@@ -10,7 +10,7 @@
 #include "bilberrylead/http/server_settings.hpp"
 #include "bilberrylead/http/upstream_exchange.hpp"
 #include "bilberrylead/http/upstream_pool.hpp"
-#include "bilberrylead/policy/bulk_pace.hpp"
+#include "bilberrylead/policy/bulk_pacer.hpp"
 
 #include <cstddef>
 #include <deque>
@@ -93,7 +93,7 @@
     }
 
     /// Paces long answers.
-    policy::bulk_pace& pace()
+    policy::bulk_pacer& pace()
     {
         return this->answer_pace;
     }
@@ -131,7 +131,7 @@
     http_counters counted;
     entry::entry_reducer reducer;
     upstream_pool pool;
-    policy::bulk_pace answer_pace;
+    policy::bulk_pacer answer_pace;
     event_sink report;
     wait_timer clock;
     std::uint64_t ticks = 0;
--- a/bilberrylead/link/message_reader.cpp
+++ b/bilberrylead/link/message_reader.cpp
@@ -132,7 +132,7 @@
                       record.generation = fields.take_unsigned();
                       std::vector<upstream_id> const ended =
                           take_ids<upstream_id>(fields);
-                      record.ended.insert(ended.begin(), ended.end());
+                      record.ended_upstreams.insert(ended.begin(), ended.end());
                       return record;
                   });
     return content;
--- a/bilberrylead/link/message_writer.cpp
+++ b/bilberrylead/link/message_writer.cpp
@@ -249,8 +249,8 @@
         {
             record.push_back(each.digest);
             record.push_back(each.generation);
-            record.push_back(each.ended.size());
-            for (upstream_id const& id : each.ended)
+            record.push_back(each.ended_upstreams.size());
+            for (upstream_id const& id : each.ended_upstreams)
             {
                 record.push_back(id.text());
             }
--- a/bilberrylead/policy/admission_queue.cpp
+++ b/bilberrylead/policy/admission_queue.cpp
@@ -12,14 +12,16 @@
 using config::work_length;
 
 /// Time until `turns` requests that hold a slot for `held` have started.
-duration turns_time(std::size_t turns, duration held, std::uint32_t slots)
+duration wait_behind(std::size_t requests, duration hold_time,
+                     std::uint32_t slots)
 {
     assert(slots > 0);
-    return duration(held.count() * static_cast<std::int64_t>(turns) / slots);
+    return duration(hold_time.count() * static_cast<std::int64_t>(requests) /
+                    slots);
 }
 
 /// Time between two slots of the pool that come free for brief work.
-duration turn_time(slot_pool const& pool)
+duration slot_interval(slot_pool const& pool)
 {
     // Slots that long work holds do not turn over in time to count.
     std::uint32_t const turning =
@@ -33,13 +35,13 @@
     : settings(settings), limit(settings.long_work), brief(settings.queue),
       extended(settings.queue)
 {
-    assert(settings.standing_wait <= settings.burst_wait);
+    assert(settings.max_standing_wait <= settings.max_burst_wait);
 }
 
 admission_verdict admission_queue::offer(waiting_request const& request,
                                          slot_pool const& pool, instant now)
 {
-    this->note_length(now);
+    this->update_last_empty(now);
     if (pool.usable == 0)
     {
         return refuse{refusal_reason::no_upstream,
@@ -62,24 +64,25 @@
     if (this->settings.bounded)
     {
         // The wait that the deadline leaves, and the wait that is any good.
-        duration const left = request.deadline - now - pool.brief_reserve;
+        duration const time_left = request.deadline - now - pool.brief_reserve;
         // A moved request was let in where it came from; refusing it now
         // would tell its caller late.
-        duration const longest =
-            request.moved ? left : std::min(left, this->longest_wait(now));
-        if (expected > longest)
+        duration const allowed_wait =
+            request.moved ? time_left
+                          : std::min(time_left, this->max_wait(now));
+        if (expected > allowed_wait)
         {
             return this->refusal(refusal_reason::wait_too_long,
-                                 expected - longest);
+                                 expected - allowed_wait);
         }
 
         // A flow's share of the bound. Without it a heavy caller's backlog
         // fills the bound, and others are refused for its sake.
         std::uint32_t const sharers = this->brief.flows_waiting() + 1;
         std::int64_t const bound =
-            longest.count() * pool.usable / pool.brief_time.count();
+            allowed_wait.count() * pool.usable / pool.brief_time.count();
         std::int64_t const share =
-            std::max(std::int64_t{this->settings.least_share},
+            std::max(std::int64_t{this->settings.min_share},
                      bound / (std::int64_t{2} * sharers));
         if (this->settings.queue.by_flow &&
             this->brief.size_of(request.flow) >= share)
@@ -87,7 +90,7 @@
             return this->refusal(refusal_reason::caller_over_share, expected);
         }
     }
-    if (!this->brief.push(request, turn_time(pool)))
+    if (!this->brief.push(request, slot_interval(pool)))
     {
         return this->refusal(refusal_reason::queue_full, expected);
     }
@@ -104,15 +107,16 @@
         return admit{};
     }
     std::uint32_t const slots =
-        this->limit.most(pool.usable, pool.brief_average);
+        this->limit.max_slots(pool.usable, pool.brief_average);
     duration const expected =
-        turns_time(this->extended.size() + 1, pool.long_time, slots);
-    duration const longest =
+        wait_behind(this->extended.size() + 1, pool.long_time, slots);
+    duration const allowed_wait =
         std::min(request.deadline - now - pool.long_time,
-                 this->settings.long_wait + pool.long_time);
-    if (this->settings.bounded && expected > longest)
+                 this->settings.max_long_wait + pool.long_time);
+    if (this->settings.bounded && expected > allowed_wait)
     {
-        return this->refusal(refusal_reason::wait_too_long, expected - longest);
+        return this->refusal(refusal_reason::wait_too_long,
+                             expected - allowed_wait);
     }
     if (!this->extended.push(request, pool.long_time / slots))
     {
@@ -143,39 +147,39 @@
                                     : this->brief.peek();
 }
 
-std::optional<waiting_request> admission_queue::next(slot_pool const& pool,
-                                                     instant now)
+std::optional<waiting_request> admission_queue::pop(slot_pool const& pool,
+                                                    instant now)
 {
     if (pool.free == 0)
     {
         return std::nullopt;
     }
-    std::optional<waiting_request> taken =
+    std::optional<waiting_request> request =
         this->long_is_next(pool) ? this->extended.pop() : this->brief.pop();
-    this->note_length(now);
-    return taken;
+    this->update_last_empty(now);
+    return request;
 }
 
 std::optional<waiting_request>
-admission_queue::next_expired(slot_pool const& pool, instant now)
+admission_queue::pop_expired(slot_pool const& pool, instant now)
 {
     if (!this->settings.bounded)
     {
         return std::nullopt;
     }
-    std::optional<waiting_request> late =
-        this->brief.pop_late(now + pool.brief_reserve);
-    if (!late.has_value())
+    std::optional<waiting_request> expired =
+        this->brief.pop_expired(now + pool.brief_reserve);
+    if (!expired.has_value())
     {
-        late = this->extended.pop_late(now + pool.long_time);
+        expired = this->extended.pop_expired(now + pool.long_time);
     }
-    return late;
+    return expired;
 }
 
-std::optional<waiting_request> admission_queue::next_to_give_up()
+std::optional<waiting_request> admission_queue::pop_any()
 {
-    std::optional<waiting_request> any = this->brief.pop();
-    return any.has_value() ? any : this->extended.pop();
+    std::optional<waiting_request> request = this->brief.pop();
+    return request.has_value() ? request : this->extended.pop();
 }
 
 bool admission_queue::cancel(std::uint64_t ticket)
@@ -189,29 +193,32 @@
 {
     if (pool.usable == 0)
     {
-        return this->settings.burst_wait;
+        return this->settings.max_burst_wait;
     }
     if (pool.free > 0 && this->brief.size() == 0)
     {
         return duration{};
     }
-    duration const turn = turn_time(pool);
-    std::size_t const ahead = this->brief.ahead_of(flow, now, turn);
-    return turn * (static_cast<std::int64_t>(ahead) + 1);
+    duration const interval = slot_interval(pool);
+    std::size_t const ahead = this->brief.count_ahead_of(flow, now, interval);
+    return interval * (static_cast<std::int64_t>(ahead) + 1);
 }
 
-duration admission_queue::longest_wait(instant now) const
+duration admission_queue::max_wait(instant now) const
 {
     // last_empty is unset only until the first event.
     bool const standing =
         this->last_empty.has_value() &&
         now - *this->last_empty > this->settings.standing_after;
-    return standing ? this->settings.standing_wait : this->settings.burst_wait;
+    return standing ? this->settings.max_standing_wait
+                    : this->settings.max_burst_wait;
 }
 
-refuse admission_queue::refusal(refusal_reason reason, duration too_long) const
+refuse admission_queue::refusal(refusal_reason reason,
+                                duration excess_wait) const
 {
-    return refuse{reason, std::max(too_long, this->settings.least_retry_after)};
+    return refuse{reason,
+                  std::max(excess_wait, this->settings.min_retry_after)};
 }
 
 bool admission_queue::may_start(config::work_length length,
@@ -221,7 +228,7 @@
                               pool.brief_average);
 }
 
-void admission_queue::note_length(instant now)
+void admission_queue::update_last_empty(instant now)
 {
     if (this->brief.size() == 0 || !this->last_empty.has_value())
     {
--- a/bilberrylead/policy/admission_queue.hpp
+++ b/bilberrylead/policy/admission_queue.hpp
@@ -39,22 +39,22 @@
 
     /// Takes out the request that peek names. Call again until it gives
     /// nothing.
-    std::optional<waiting_request> next(slot_pool const& pool, instant now);
+    std::optional<waiting_request> pop(slot_pool const& pool, instant now);
 
     /// Takes out a request that can no longer make its deadline; its caller
     /// hears "not run" now. Call after every event until it gives nothing.
-    std::optional<waiting_request> next_expired(slot_pool const& pool,
-                                                instant now);
+    std::optional<waiting_request> pop_expired(slot_pool const& pool,
+                                               instant now);
 
     /// Takes out any request, for an owner that cannot serve them any more.
-    std::optional<waiting_request> next_to_give_up();
+    std::optional<waiting_request> pop_any();
 
     /// The caller went away; false if the request does not wait here.
     bool cancel(std::uint64_t ticket);
 
     /// Takes out the brief request that gains most from running elsewhere:
     /// the last one that may move.
-    std::optional<waiting_request> next_to_move()
+    std::optional<waiting_request> pop_last_movable()
     {
         return this->brief.pop_last_movable();
     }
@@ -86,11 +86,11 @@
                                   slot_pool const& pool, instant now);
     admission_verdict offer_long(waiting_request const& request,
                                  slot_pool const& pool, instant now);
-    duration longest_wait(instant now) const;
-    refuse refusal(refusal_reason reason, duration too_long) const;
+    duration max_wait(instant now) const;
+    refuse refusal(refusal_reason reason, duration excess_wait) const;
     bool may_start(config::work_length length, slot_pool const& pool) const;
     bool long_is_next(slot_pool const& pool) const;
-    void note_length(instant now);
+    void update_last_empty(instant now);
 
     admission_queue_settings settings;
     long_work_limit limit;
--- a/bilberrylead/policy/admission_queue_settings.hpp
+++ b/bilberrylead/policy/admission_queue_settings.hpp
@@ -16,24 +16,24 @@
 {
     /// Longest expected wait while the queue was empty a moment ago: a
     /// burst. Half a second: longer, and the singer looks at a blank screen.
-    duration burst_wait = std::chrono::milliseconds(500);
+    duration max_burst_wait = std::chrono::milliseconds(500);
     /// Longest expected wait once the queue has stood for `standing_after`:
     /// saturation. A standing queue serves not one request more, it only
     /// makes each of them later; a few service times keep slots busy.
-    duration standing_wait = std::chrono::milliseconds(200);
+    duration max_standing_wait = std::chrono::milliseconds(200);
     /// How long a queue must never have been empty to be a standing one;
     /// over 0. Longer than what one burst leaves behind.
     duration standing_after = std::chrono::seconds(2);
     /// Longest expected wait of long work: it is in no hurry, but its
     /// caller should hear within seconds that it is not run.
-    duration long_wait = std::chrono::seconds(10);
+    duration max_long_wait = std::chrono::seconds(10);
     /// A flow may hold half of bound / (flows waiting + 1), but this many
     /// requests always. Half: the other half of the slots' turns goes to
     /// flows that come later and wait less, and a backlog that ignores them
     /// is given up late instead of refused at once.
-    std::uint32_t least_share = 3;
+    std::uint32_t min_share = 3;
     /// Shortest time after which a refused caller is told to come back.
-    duration least_retry_after = std::chrono::milliseconds(100);
+    duration min_retry_after = std::chrono::milliseconds(100);
     /// Order among those that wait.
     fair_queue_settings queue;
     /// What long work may hold.
--- a/bilberrylead/policy/crash_history.cpp
+++ b/bilberrylead/policy/crash_history.cpp
@@ -17,19 +17,19 @@
 
 } // namespace
 
-crash_history::crash_history(crash_history_settings const& chosen)
-    : settings(chosen)
+crash_history::crash_history(crash_history_settings const& settings)
+    : settings(settings)
 {
-    assert(chosen.most_records > 0);
+    assert(settings.max_records > 0);
 }
 
 crash_verdict crash_history::verdict_of(crash_record const& record) const
 {
-    if (record.ended.size() >= this->settings.crashes_to_refuse)
+    if (record.ended_upstreams.size() >= this->settings.crashes_to_refuse)
     {
         return crash_verdict::refused;
     }
-    return record.ended.size() >= this->settings.crashes_to_restrict
+    return record.ended_upstreams.size() >= this->settings.crashes_to_restrict
                ? crash_verdict::restricted
                : crash_verdict::unrestricted;
 }
@@ -42,33 +42,35 @@
                : this->verdict_of(found->second.record);
 }
 
-crash_history::entry_map::const_iterator crash_history::least() const
+crash_history::entry_map::const_iterator
+crash_history::eviction_candidate() const
 {
-    return std::min_element(this->entries.begin(), this->entries.end(),
-                            [](auto const& one, auto const& other)
-                            {
-                                return std::pair(one.second.record.ended.size(),
-                                                 one.second.last_seen) <
-                                       std::pair(
-                                           other.second.record.ended.size(),
-                                           other.second.last_seen);
-                            });
+    return std::min_element(
+        this->entries.begin(), this->entries.end(),
+        [](auto const& left, auto const& right)
+        {
+            return std::pair(left.second.record.ended_upstreams.size(),
+                             left.second.last_seen) <
+                   std::pair(right.second.record.ended_upstreams.size(),
+                             right.second.last_seen);
+        });
 }
 
 /// A host that is full takes only records that count for more than what they
 /// evict: hosts would else hand evicted records round for ever.
-bool crash_history::admits(crash_record const& said) const
+bool crash_history::accepts(crash_record const& received) const
 {
-    if (this->entries.contains(said.digest))
+    if (this->entries.contains(received.digest))
     {
         return true;
     }
-    if (said.digest == 0 || said.ended.empty())
+    if (received.digest == 0 || received.ended_upstreams.empty())
     {
         return false;
     }
-    return this->entries.size() < this->settings.most_records ||
-           said.ended.size() > this->least()->second.record.ended.size();
+    return this->entries.size() < this->settings.max_records ||
+           received.ended_upstreams.size() >
+               this->eviction_candidate()->second.record.ended_upstreams.size();
 }
 
 crash_history::entry& crash_history::entry_of(std::uint64_t digest, instant now)
@@ -78,9 +80,9 @@
     {
         return found->second;
     }
-    if (this->entries.size() >= this->settings.most_records)
+    if (this->entries.size() >= this->settings.max_records)
     {
-        this->entries.erase(this->least());
+        this->entries.erase(this->eviction_candidate());
         ++this->evictions;
     }
     return this->entries.emplace(digest, entry{{digest, 0, {}}, now})
@@ -88,35 +90,37 @@
 }
 
 std::optional<crash_record>
-crash_history::note_crash(std::uint64_t digest, upstream_id const& upstream,
-                          instant now)
+crash_history::record_crash(std::uint64_t digest, upstream_id const& upstream,
+                            instant now)
 {
-    entry& known = this->entry_of(digest, now);
-    if (known.record.ended.size() >= this->settings.crashes_to_refuse ||
-        !known.record.ended.insert(upstream).second)
+    entry& held = this->entry_of(digest, now);
+    if (held.record.ended_upstreams.size() >=
+            this->settings.crashes_to_refuse ||
+        !held.record.ended_upstreams.insert(upstream).second)
     {
         return std::nullopt;
     }
-    known.last_seen = now;
-    return known.record;
+    held.last_seen = now;
+    return held.record;
 }
 
 std::optional<crash_record> crash_history::clear(std::uint64_t digest,
                                                  instant now)
 {
     auto const found = this->entries.find(digest);
-    if (found == this->entries.end() || found->second.record.ended.empty())
+    if (found == this->entries.end() ||
+        found->second.record.ended_upstreams.empty())
     {
         return std::nullopt;
     }
-    entry& known = found->second;
-    ++known.record.generation;
-    known.record.ended.clear();
-    known.last_seen = now;
-    return known.record;
+    entry& held = found->second;
+    ++held.record.generation;
+    held.record.ended_upstreams.clear();
+    held.last_seen = now;
+    return held.record;
 }
 
-void crash_history::note_repeat(std::uint64_t digest, instant now)
+void crash_history::record_repeat(std::uint64_t digest, instant now)
 {
     auto const found = this->entries.find(digest);
     if (found != this->entries.end())
@@ -129,36 +133,38 @@
                                  instant now)
 {
     crash_merge result;
-    for (crash_record const& said : records)
+    for (crash_record const& received : records)
     {
-        if (!this->admits(said))
+        if (!this->accepts(received))
         {
             continue;
         }
-        entry& known = this->entry_of(said.digest, now);
-        crash_record merged = known.record;
-        if (said.generation > merged.generation)
+        entry& held = this->entry_of(received.digest, now);
+        crash_record merged = held.record;
+        if (received.generation > merged.generation)
         {
-            merged = said;
+            merged = received;
         }
-        else if (said.generation == merged.generation)
+        else if (received.generation == merged.generation)
         {
-            merged.ended.insert(said.ended.begin(), said.ended.end());
+            merged.ended_upstreams.insert(received.ended_upstreams.begin(),
+                                          received.ended_upstreams.end());
         }
         // The same ones are kept on every host, so that records converge.
-        while (merged.ended.size() > this->settings.crashes_to_refuse)
+        while (merged.ended_upstreams.size() > this->settings.crashes_to_refuse)
         {
-            merged.ended.erase(std::prev(merged.ended.end()));
+            merged.ended_upstreams.erase(
+                std::prev(merged.ended_upstreams.end()));
         }
-        if (merged != said)
+        if (merged != received)
         {
-            result.missing_there.push_back(merged);
+            result.missing_at_sender.push_back(merged);
         }
-        if (merged != known.record)
+        if (merged != held.record)
         {
-            known.record = std::move(merged);
-            known.last_seen = now;
-            result.learned.push_back(known.record);
+            held.record = std::move(merged);
+            held.last_seen = now;
+            result.changed.push_back(held.record);
         }
     }
     return result;
@@ -166,11 +172,11 @@
 
 void crash_history::expire(instant now)
 {
-    if (now - this->expired_at < expiry_interval)
+    if (now - this->last_expiry_at < expiry_interval)
     {
         return;
     }
-    this->expired_at = now;
+    this->last_expiry_at = now;
     std::erase_if(this->entries,
                   [this, now](auto const& each)
                   {
@@ -178,23 +184,23 @@
                           this->verdict_of(each.second.record) ==
                           crash_verdict::refused;
                       return now - each.second.last_seen >=
-                             (is_refused ? this->settings.refused_memory
-                                         : this->settings.suspect_memory);
+                             (is_refused ? this->settings.refused_retention
+                                         : this->settings.suspect_retention);
                   });
 }
 
-std::vector<crash_record> crash_history::all() const
+std::vector<crash_record> crash_history::records() const
 {
     std::vector<crash_record> records;
     records.reserve(this->entries.size());
-    for (auto const& [digest, known] : this->entries)
+    for (auto const& [digest, held] : this->entries)
     {
-        records.push_back(known.record);
+        records.push_back(held.record);
     }
     return records;
 }
 
-std::size_t crash_history::refused() const
+std::size_t crash_history::refused_count() const
 {
     return static_cast<std::size_t>(
         std::count_if(this->entries.begin(), this->entries.end(),
--- a/bilberrylead/policy/crash_history.hpp
+++ b/bilberrylead/policy/crash_history.hpp
@@ -37,15 +37,16 @@
 
     /// The upstream ended while it ran the request. Returns the record if it
     /// changed.
-    std::optional<crash_record>
-    note_crash(std::uint64_t digest, upstream_id const& upstream, instant now);
+    std::optional<crash_record> record_crash(std::uint64_t digest,
+                                             upstream_id const& upstream,
+                                             instant now);
 
     /// The request got a whole answer, or an operator lets it run again.
     /// Returns the record if upstreams had ended under it.
     std::optional<crash_record> clear(std::uint64_t digest, instant now);
 
     /// The request came again and was refused.
-    void note_repeat(std::uint64_t digest, instant now);
+    void record_repeat(std::uint64_t digest, instant now);
 
     /// Takes another host's records.
     crash_merge merge(std::vector<crash_record> const& records, instant now);
@@ -54,13 +55,13 @@
     void expire(instant now);
 
     /// All records, for a host that is linked.
-    std::vector<crash_record> all() const;
+    std::vector<crash_record> records() const;
 
     /// Whether a request with that record may run.
     crash_verdict verdict_of(crash_record const& record) const;
 
     /// Requests that are refused now.
-    std::size_t refused() const;
+    std::size_t refused_count() const;
 
     /// Records held.
     std::size_t size() const
@@ -69,7 +70,7 @@
     }
 
     /// Records that were evicted, since there were too many.
-    std::uint64_t evicted() const
+    std::uint64_t evicted_count() const
     {
         return this->evictions;
     }
@@ -84,12 +85,12 @@
     using entry_map = std::map<std::uint64_t, entry>;
 
     entry& entry_of(std::uint64_t digest, instant now);
-    entry_map::const_iterator least() const;
-    bool admits(crash_record const& said) const;
+    entry_map::const_iterator eviction_candidate() const;
+    bool accepts(crash_record const& received) const;
 
     crash_history_settings settings;
     entry_map entries;
-    instant expired_at{};
+    instant last_expiry_at{};
     std::uint64_t evictions = 0;
 };
 
--- a/bilberrylead/policy/crash_history_settings.hpp
+++ b/bilberrylead/policy/crash_history_settings.hpp
@@ -19,12 +19,12 @@
     std::size_t crashes_to_refuse = 3;
     /// Records of requests that are not refused, and of cleared ones, are
     /// kept for so long after their last change.
-    duration suspect_memory = std::chrono::minutes(2);
+    duration suspect_retention = std::chrono::minutes(2);
     /// A refused request is forgotten so long after it came last.
-    duration refused_memory = std::chrono::minutes(30);
+    duration refused_retention = std::chrono::minutes(30);
     /// Records held; one more evicts the one with the fewest crashes, the
     /// oldest of these.
-    std::size_t most_records = 1024;
+    std::size_t max_records = 1024;
 };
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/crash_merge.hpp
+++ b/bilberrylead/policy/crash_merge.hpp
@@ -12,9 +12,9 @@
 struct crash_merge
 {
     /// Records that changed here: for everyone but their sender.
-    std::vector<crash_record> learned;
+    std::vector<crash_record> changed;
     /// Records of which the sender knows less: for the sender.
-    std::vector<crash_record> missing_there;
+    std::vector<crash_record> missing_at_sender;
 };
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/crash_record.hpp
+++ b/bilberrylead/policy/crash_record.hpp
@@ -19,7 +19,7 @@
     /// Grows by one each time a whole answer clears the request.
     std::uint64_t generation = 0;
     /// Incarnations that ended since then.
-    std::set<upstream_id> ended;
+    std::set<upstream_id> ended_upstreams;
 
     friend bool operator==(crash_record const&, crash_record const&) = default;
 };
--- a/bilberrylead/policy/fair_queue.cpp
+++ b/bilberrylead/policy/fair_queue.cpp
@@ -8,58 +8,60 @@
 
 fair_queue::fair_queue(fair_queue_settings const& settings)
     : capacity(settings.capacity), by_flow(settings.by_flow),
-      rows(settings.rows)
+      buckets(settings.buckets)
 {
-    assert(settings.capacity > 0 && settings.rows > 0);
+    assert(settings.capacity > 0 && settings.buckets > 0);
     this->heap.reserve(settings.capacity);
 }
 
-bool fair_queue::later(entry const& left, entry const& right)
+bool fair_queue::starts_later(entry const& left, entry const& right)
 {
-    if (left.turn != right.turn)
+    if (left.start_tag != right.start_tag)
     {
-        return left.turn > right.turn;
+        return left.start_tag > right.start_tag;
     }
     return left.order > right.order;
 }
 
-fair_queue::row& fair_queue::row_of(std::uint32_t flow)
+fair_queue::bucket& fair_queue::bucket_of(std::uint32_t flow)
 {
-    return this->rows[flow % this->rows.size()];
+    return this->buckets[flow % this->buckets.size()];
 }
 
-fair_queue::row const& fair_queue::row_of(std::uint32_t flow) const
+fair_queue::bucket const& fair_queue::bucket_of(std::uint32_t flow) const
 {
-    return this->rows[flow % this->rows.size()];
+    return this->buckets[flow % this->buckets.size()];
 }
 
-instant fair_queue::next_turn(std::uint32_t flow, instant now,
-                              duration turn_time) const
+instant fair_queue::next_start_tag(std::uint32_t flow, instant now,
+                                   duration slot_interval) const
 {
     // A flow that was away does not save up turns, or it could hold up
     // everybody when it comes back.
-    row const& own = this->row_of(flow);
+    bucket const& own = this->bucket_of(flow);
     if (!this->by_flow || own.waiting == 0)
     {
         return now;
     }
-    return std::max(now, own.last_turn + turn_time * this->busy_rows);
+    return std::max(now,
+                    own.last_start_tag + slot_interval * this->busy_buckets);
 }
 
-bool fair_queue::push(waiting_request const& request, duration turn_time)
+bool fair_queue::push(waiting_request const& request, duration slot_interval)
 {
     if (this->heap.size() == this->capacity)
     {
         return false;
     }
-    row& own = this->row_of(request.flow);
-    own.last_turn = this->next_turn(request.flow, request.arrived, turn_time);
+    bucket& own = this->bucket_of(request.flow);
+    own.last_start_tag =
+        this->next_start_tag(request.flow, request.arrived, slot_interval);
     if (own.waiting++ == 0)
     {
-        ++this->busy_rows;
+        ++this->busy_buckets;
     }
-    this->heap.push_back({own.last_turn, this->orders++, request});
-    std::push_heap(this->heap.begin(), this->heap.end(), later);
+    this->heap.push_back({own.last_start_tag, this->next_order++, request});
+    std::push_heap(this->heap.begin(), this->heap.end(), starts_later);
     return true;
 }
 
@@ -74,11 +76,11 @@
     {
         return std::nullopt;
     }
-    std::pop_heap(this->heap.begin(), this->heap.end(), later);
-    return this->take(this->heap.size() - 1);
+    std::pop_heap(this->heap.begin(), this->heap.end(), starts_later);
+    return this->remove_at(this->heap.size() - 1);
 }
 
-waiting_request fair_queue::take(std::size_t index)
+waiting_request fair_queue::remove_at(std::size_t index)
 {
     waiting_request const request = this->heap[index].request;
     bool const last = index + 1 == this->heap.size();
@@ -86,11 +88,11 @@
     this->heap.pop_back();
     if (!last)
     {
-        std::make_heap(this->heap.begin(), this->heap.end(), later);
+        std::make_heap(this->heap.begin(), this->heap.end(), starts_later);
     }
-    if (--this->row_of(request.flow).waiting == 0)
+    if (--this->bucket_of(request.flow).waiting == 0)
     {
-        --this->busy_rows;
+        --this->busy_buckets;
     }
     return request;
 }
@@ -101,20 +103,20 @@
     {
         if (this->heap[index].request.ticket == ticket)
         {
-            this->take(index);
+            this->remove_at(index);
             return true;
         }
     }
     return false;
 }
 
-std::optional<waiting_request> fair_queue::pop_late(instant limit)
+std::optional<waiting_request> fair_queue::pop_expired(instant limit)
 {
     for (std::size_t index = 0; index < this->heap.size(); ++index)
     {
         if (this->heap[index].request.deadline < limit)
         {
-            return this->take(index);
+            return this->remove_at(index);
         }
     }
     return std::nullopt;
@@ -130,7 +132,7 @@
             continue;
         }
         if (last == this->heap.size() ||
-            later(this->heap[index], this->heap[last]))
+            starts_later(this->heap[index], this->heap[last]))
         {
             last = index;
         }
@@ -139,24 +141,24 @@
     {
         return std::nullopt;
     }
-    return this->take(last);
+    return this->remove_at(last);
 }
 
 std::uint32_t fair_queue::size_of(std::uint32_t flow) const
 {
-    return this->row_of(flow).waiting;
+    return this->bucket_of(flow).waiting;
 }
 
-std::size_t fair_queue::ahead_of(std::uint32_t flow, instant now,
-                                 duration turn_time) const
+std::size_t fair_queue::count_ahead_of(std::uint32_t flow, instant now,
+                                       duration slot_interval) const
 {
-    instant const turn = this->next_turn(flow, now, turn_time);
-    return static_cast<std::size_t>(std::count_if(this->heap.begin(),
-                                                  this->heap.end(),
-                                                  [turn](entry const& other)
-                                                  {
-                                                      return other.turn <= turn;
-                                                  }));
+    instant const start_tag = this->next_start_tag(flow, now, slot_interval);
+    return static_cast<std::size_t>(
+        std::count_if(this->heap.begin(), this->heap.end(),
+                      [start_tag](entry const& other)
+                      {
+                          return other.start_tag <= start_tag;
+                      }));
 }
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/fair_queue.hpp
+++ b/bilberrylead/policy/fair_queue.hpp
@@ -36,7 +36,7 @@
 
     /// Adds a request; false, and nothing changes, if the queue is full.
     /// `turn_time` is the time between two slots that come free.
-    bool push(waiting_request const& request, duration turn_time);
+    bool push(waiting_request const& request, duration slot_interval);
 
     /// The request whose turn is next, or nullptr.
     waiting_request const* peek() const;
@@ -48,7 +48,7 @@
     bool remove(std::uint64_t ticket);
 
     /// Takes out one request whose deadline is before `limit`, if any.
-    std::optional<waiting_request> pop_late(instant limit);
+    std::optional<waiting_request> pop_expired(instant limit);
 
     /// Takes out the request whose turn is last among those that may move,
     /// if any.
@@ -66,41 +66,41 @@
     /// Rows that have a request waiting.
     std::uint32_t flows_waiting() const
     {
-        return this->busy_rows;
+        return this->busy_buckets;
     }
 
     /// How many of those that wait would be served before a new request of
     /// the flow.
-    std::size_t ahead_of(std::uint32_t flow, instant now,
-                         duration turn_time) const;
+    std::size_t count_ahead_of(std::uint32_t flow, instant now,
+                               duration slot_interval) const;
 
 private:
     struct entry
     {
-        instant turn;
+        instant start_tag;
         std::uint64_t order = 0;
         waiting_request request;
     };
 
-    struct row
+    struct bucket
     {
-        instant last_turn;
+        instant last_start_tag;
         std::uint32_t waiting = 0;
     };
 
-    static bool later(entry const& left, entry const& right);
-    row& row_of(std::uint32_t flow);
-    row const& row_of(std::uint32_t flow) const;
-    instant next_turn(std::uint32_t flow, instant now,
-                      duration turn_time) const;
-    waiting_request take(std::size_t index);
+    static bool starts_later(entry const& left, entry const& right);
+    bucket& bucket_of(std::uint32_t flow);
+    bucket const& bucket_of(std::uint32_t flow) const;
+    instant next_start_tag(std::uint32_t flow, instant now,
+                           duration slot_interval) const;
+    waiting_request remove_at(std::size_t index);
 
     std::size_t capacity;
     bool by_flow;
     std::vector<entry> heap;
-    std::vector<row> rows;
-    std::uint64_t orders = 0;
-    std::uint32_t busy_rows = 0;
+    std::vector<bucket> buckets;
+    std::uint64_t next_order = 0;
+    std::uint32_t busy_buckets = 0;
 };
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/fair_queue_settings.hpp
+++ b/bilberrylead/policy/fair_queue_settings.hpp
@@ -16,7 +16,7 @@
     /// Rows of the flow table; at least 1. With 4096 rows (64 KB) a light
     /// caller shares a row with one of a hundred that wait in 2 % of cases;
     /// it then waits a round longer.
-    std::size_t rows = 4096;
+    std::size_t buckets = 4096;
     /// False serves in order of arrival (for comparison).
     bool by_flow = true;
 };
--- a/bilberrylead/policy/long_work_limit.hpp
+++ b/bilberrylead/policy/long_work_limit.hpp
@@ -29,7 +29,7 @@
     /// Slots that long work may hold of `slots`, while brief work holds
     /// `brief_average` on average. At least 1 if there is a slot at all: a
     /// songbook bundle that never starts misses its print deadline.
-    std::uint32_t most(std::uint32_t slots, double brief_average) const;
+    std::uint32_t max_slots(std::uint32_t slots, double brief_average) const;
 
     /// True if a request of `length` may take a free slot of `slots`, while
     /// long work holds `long_held`.
--- a/bilberrylead/policy/long_work_limit_settings.hpp
+++ b/bilberrylead/policy/long_work_limit_settings.hpp
@@ -9,10 +9,10 @@
 {
     /// Largest share of the slots for long work, 0 to 1. A third leaves
     /// brief work two of the three slots that an upstream usually has.
-    double largest_share = 1.0 / 3.0;
+    double max_share = 1.0 / 3.0;
     /// Slots kept for brief work, as a multiple of what it held on average;
     /// at least 1. A quarter on top covers its swings at 80 % of slots.
-    double brief_headroom = 1.25;
+    double brief_headroom_factor = 1.25;
     /// False lets long work into every slot (for comparison).
     bool enabled = true;
 };
--- a/bilberrylead/policy/retry_budget.cpp
+++ b/bilberrylead/policy/retry_budget.cpp
@@ -7,39 +7,40 @@
 namespace bilberrylead::policy
 {
 
-void retry_budget::succeeded()
+void retry_budget::record_success()
 {
-    this->saved = std::min(this->settings.most_saved,
-                           this->saved + this->settings.earned_by_success);
+    this->saved = std::min(this->settings.max_saved,
+                           this->saved + this->settings.earned_per_success);
 }
 
-std::optional<duration> retry_budget::ask(retry_question const& question,
-                                          instant now, generator& random)
+std::optional<duration>
+retry_budget::request_retry(retry_request const& request, instant now,
+                            generator& random)
 {
-    assert(question.attempts >= 1);
+    assert(request.attempts >= 1);
     // A request that may not be repeated runs again only if nothing of it
     // ran: anything else could post a royalty twice.
-    if (!question.idempotent && !question.surely_not_run)
+    if (!request.idempotent && !request.certainly_not_run)
     {
         return std::nullopt;
     }
-    if (question.attempts >= this->settings.most_attempts || this->saved < 1)
+    if (request.attempts >= this->settings.max_attempts || this->saved < 1)
     {
         return std::nullopt;
     }
 
     // Full jitter: the requests that one dead upstream failed together do
     // not come back together.
-    duration const longest =
-        this->settings.first_pause * (std::int64_t{1} << question.attempts);
-    duration const pause(static_cast<std::int64_t>(
-        random.unit() * static_cast<double>(longest.count())));
-    if (now + pause + question.needed > question.deadline)
+    duration const max_backoff =
+        this->settings.initial_backoff * (std::int64_t{1} << request.attempts);
+    duration const backoff(static_cast<std::int64_t>(
+        random.unit() * static_cast<double>(max_backoff.count())));
+    if (now + backoff + request.run_time > request.deadline)
     {
         return std::nullopt;
     }
     this->saved -= 1;
-    return pause;
+    return backoff;
 }
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/retry_budget.hpp
+++ b/bilberrylead/policy/retry_budget.hpp
@@ -13,19 +13,19 @@
 {
 
 /// What is asked of a retry_budget: may this request run again?
-struct retry_question
+struct retry_request
 {
     /// True if running it twice does no harm.
     bool idempotent = false;
     /// True if no byte of it can have reached an upstream, or the upstream
     /// itself said that it was not run.
-    bool surely_not_run = false;
+    bool certainly_not_run = false;
     /// Times it was sent so far; at least 1.
     unsigned attempts = 1;
     /// When its answer is of no more use.
     instant deadline;
     /// Time that a run needs (an upper quantile).
-    duration needed{};
+    duration run_time{};
 };
 
 /// Retries of one service at one entry host, in proportion to successes.
@@ -39,24 +39,24 @@
 public:
     /// Makes a budget that follows `settings`.
     explicit retry_budget(retry_budget_settings const& settings = {})
-        : settings(settings), saved(settings.first_saved)
+        : settings(settings), saved(settings.initial_saved)
     {
     }
 
     /// A request succeeded.
-    void succeeded();
+    void record_success();
 
     /// The pause before the request may run again (and the retry is spent),
     /// or nothing: give up now.
-    std::optional<duration> ask(retry_question const& question, instant now,
-                                generator& random);
+    std::optional<duration> request_retry(retry_request const& request,
+                                          instant now, generator& random);
 
     /// From now on at most so many retries are saved up, at least 0: this
     /// host's share of what all entry hosts may send besides.
-    void set_most_saved(double most)
+    void set_max_saved(double retries)
     {
-        this->settings.most_saved = most;
-        this->saved = std::min(this->saved, most);
+        this->settings.max_saved = retries;
+        this->saved = std::min(this->saved, retries);
     }
 
     /// Retries saved up now.
--- a/bilberrylead/policy/return_time.cpp
+++ b/bilberrylead/policy/retry_time.cpp
@@ -1,4 +1,4 @@
-#include "bilberrylead/policy/return_time.hpp"
+#include "bilberrylead/policy/retry_time.hpp"
 
 #include "bilberrylead/policy/generator.hpp"
 #include "bilberrylead/policy/placement_settings.hpp"
@@ -8,11 +8,11 @@
 namespace bilberrylead::policy
 {
 
-duration return_time(duration until_room, placement_settings const& settings,
-                     generator& random)
+duration retry_time(duration until_free_capacity,
+                    placement_settings const& settings, generator& random)
 {
     double const spread = settings.latest_return - settings.soonest_return;
-    return scaled(std::max(until_room, settings.least_retry_after),
+    return scaled(std::max(until_free_capacity, settings.least_retry_after),
                   settings.soonest_return + spread * random.unit());
 }
 
--- a/bilberrylead/policy/return_time.hpp
+++ b/bilberrylead/policy/retry_time.hpp
@@ -1,5 +1,5 @@
-#ifndef BILBERRYLEAD_POLICY_RETURN_TIME_HPP
-#define BILBERRYLEAD_POLICY_RETURN_TIME_HPP
+#ifndef BILBERRYLEAD_POLICY_RETRY_TIME_HPP
+#define BILBERRYLEAD_POLICY_RETRY_TIME_HPP
 
 #include "bilberrylead/core/time.hpp"
 
@@ -12,8 +12,8 @@
 /// When a caller that is refused is told to come back, if room is expected
 /// in `until_room`: each draws its own time, so that they do not come back
 /// together.
-duration return_time(duration until_room, placement_settings const& settings,
-                     generator& random);
+duration retry_time(duration until_free_capacity,
+                    placement_settings const& settings, generator& random);
 
 } // namespace bilberrylead::policy
 
--- a/bilberrylead/policy/shared_limit.cpp
+++ b/bilberrylead/policy/shared_limit.cpp
@@ -9,38 +9,38 @@
 namespace bilberrylead::policy
 {
 
-shared_limit::shared_limit(shared_limit_settings const& chosen)
-    : settings(chosen)
+shared_limit::shared_limit(shared_limit_settings const& settings)
+    : settings(settings)
 {
 }
 
 double shared_limit::fill_rate() const
 {
-    return std::max(this->rate.value_or(0), this->settings.least_rate);
+    return std::max(this->rate.value_or(0), this->settings.min_rate);
 }
 
-double shared_limit::most_saved() const
+double shared_limit::max_saved() const
 {
-    return std::min(this->settings.most_saved, this->fill_rate());
+    return std::min(this->settings.max_saved, this->fill_rate());
 }
 
 /// Tokens that must be there before this host sends a request.
-double shared_limit::wanted() const
+double shared_limit::required_tokens() const
 {
-    return 1 + this->most_saved() * this->reserve_part;
+    return 1 + this->max_saved() * this->reserve_fraction;
 }
 
 double shared_limit::level(instant now) const
 {
-    std::chrono::duration<double> const passed = now - this->counted_at;
+    std::chrono::duration<double> const passed = now - this->updated_at;
     return std::min(this->tokens + passed.count() * this->fill_rate(),
-                    1 + this->most_saved());
+                    1 + this->max_saved());
 }
 
-bool shared_limit::limits(instant now) const
+bool shared_limit::is_in_force(instant now) const
 {
     return this->rate.has_value() &&
-           now - this->seen_at < this->settings.memory;
+           now - this->seen_at < this->settings.lifetime;
 }
 
 bool shared_limit::observe(std::optional<double> per_second, instant seen)
@@ -49,13 +49,13 @@
     {
         return false;
     }
-    bool const is_new = !this->limits(seen);
+    bool const is_new = !this->is_in_force(seen);
     bool const changed = this->rate != per_second;
     if (changed && !is_new)
     {
         // What was saved so far was saved by the old limit.
         this->tokens = this->level(seen);
-        this->counted_at = seen;
+        this->updated_at = seen;
     }
     this->rate = per_second;
     this->seen_at = seen;
@@ -66,35 +66,36 @@
     else if (is_new)
     {
         this->tokens = 0;
-        this->counted_at = seen;
+        this->updated_at = seen;
     }
     return changed;
 }
 
 void shared_limit::spend(double spent, instant now, generator& random)
 {
-    double const least =
-        -std::max(1.0, this->settings.most_owed_seconds * this->fill_rate());
-    this->tokens = std::max(this->level(now) - spent, least);
-    this->counted_at = std::max(this->counted_at, now);
-    this->reserve_part = random.unit();
+    double const min_tokens =
+        -std::max(1.0, this->settings.max_debt_seconds * this->fill_rate());
+    this->tokens = std::max(this->level(now) - spent, min_tokens);
+    this->updated_at = std::max(this->updated_at, now);
+    this->reserve_fraction = random.unit();
 }
 
-void shared_limit::take(instant now, generator& random)
+void shared_limit::consume(instant now, generator& random)
 {
     ++this->own_sent;
     this->spend(1, now, random);
 }
 
-void shared_limit::hear(host_id const& host, std::uint64_t sent, instant now,
-                        generator& random)
+void shared_limit::record_peer_sent(host_id const& host, std::uint64_t sent,
+                                    instant now, generator& random)
 {
-    auto const [known, is_first] = this->sent_by.try_emplace(host, sent);
-    std::uint64_t const before = std::exchange(known->second, sent);
+    auto const [entry, is_first] = this->sent_by.try_emplace(host, sent);
+    std::uint64_t const previous = std::exchange(entry->second, sent);
     // Of a host that is heard for the first time, or has started anew, what
     // it sent before is not known.
-    std::uint64_t const spent = is_first || sent < before ? 1 : sent - before;
-    if (spent > 0 && this->limits(now))
+    std::uint64_t const spent =
+        is_first || sent < previous ? 1 : sent - previous;
+    if (spent > 0 && this->is_in_force(now))
     {
         this->spend(static_cast<double>(spent), now, random);
     }
@@ -102,7 +103,8 @@
 
 bool shared_limit::has_token(instant now) const
 {
-    return !this->limits(now) || this->level(now) >= this->wanted();
+    return !this->is_in_force(now) ||
+           this->level(now) >= this->required_tokens();
 }
 
 duration shared_limit::until_token(instant now) const
@@ -111,7 +113,7 @@
     {
         return duration::zero();
     }
-    double const missing = this->wanted() - this->level(now);
+    double const missing = this->required_tokens() - this->level(now);
     return std::chrono::duration_cast<duration>(
         std::chrono::duration<double>(missing / this->fill_rate()));
 }
--- a/bilberrylead/policy/shared_limit.hpp
+++ b/bilberrylead/policy/shared_limit.hpp
@@ -36,11 +36,11 @@
     bool observe(std::optional<double> per_second, instant seen);
 
     /// This host sends a request.
-    void take(instant now, generator& random);
+    void consume(instant now, generator& random);
 
     /// Another host has sent so many since it knows of the limit.
-    void hear(host_id const& host, std::uint64_t sent, instant now,
-              generator& random);
+    void record_peer_sent(host_id const& host, std::uint64_t sent, instant now,
+                          generator& random);
 
     /// True if a request may be sent.
     bool has_token(instant now) const;
@@ -49,7 +49,7 @@
     duration until_token(instant now) const;
 
     /// True while a limit is in force.
-    bool limits(instant now) const;
+    bool is_in_force(instant now) const;
 
     /// The limit as it was named last, requests a second.
     std::optional<double> per_second() const
@@ -71,8 +71,8 @@
 
 private:
     double fill_rate() const;
-    double most_saved() const;
-    double wanted() const;
+    double max_saved() const;
+    double required_tokens() const;
     double level(instant now) const;
     void spend(double tokens, instant now, generator& random);
 
@@ -80,10 +80,10 @@
     std::optional<double> rate;
     instant seen_at{};
     double tokens = 0;
-    instant counted_at{};
+    instant updated_at{};
     // Part of the tokens that may be saved beyond one for which this host
     // waits; another one after each request.
-    double reserve_part = 0;
+    double reserve_fraction = 0;
     std::uint64_t own_sent = 0;
     std::map<host_id, std::uint64_t> sent_by;
 };
--- a/bilberrylead/policy/slot_owner.cpp
+++ b/bilberrylead/policy/slot_owner.cpp
@@ -12,9 +12,10 @@
 using config::work_length;
 
 /// Wait behind `turns` requests in front of `slots`.
-duration wait_behind(std::size_t turns, duration held, std::uint32_t slots)
+duration wait_behind(std::size_t requests, duration hold_time,
+                     std::uint32_t slots)
 {
-    return duration(held.count() * static_cast<std::int64_t>(turns) /
+    return duration(hold_time.count() * static_cast<std::int64_t>(requests) /
                     std::max(1U, slots));
 }
 
@@ -35,17 +36,17 @@
     this->effects.clear();
     this->table.expire(now);
     std::visit(
-        [this, now](auto const& what)
+        [this, now](auto const& alternative)
         {
-            this->on(what, now);
+            this->on(alternative, now);
         },
         event);
     if (!this->owns_slots(now))
     {
-        this->give_up_all();
+        this->refuse_all_waiting();
     }
-    this->serve(now);
-    this->give_up(now);
+    this->grant_waiting(now);
+    this->refuse_expired(now);
     return this->effects;
 }
 
@@ -59,7 +60,7 @@
 
 bool slot_owner::grants_slots(instant now) const
 {
-    bool const settled = this->reports_missing == 0 || now >= this->settled_at;
+    bool const settled = this->pending_reports == 0 || now >= this->settled_at;
     return this->owns_slots(now) && settled;
 }
 
@@ -68,7 +69,7 @@
     return this->epoch > 0 && now < this->owner_until;
 }
 
-void slot_owner::on(slot_asked const& event, instant now)
+void slot_owner::on(slot_requested const& event, instant now)
 {
     this->table.renew(event.host, now + this->settings.grant_lifetime);
     waiting_request request;
@@ -124,12 +125,12 @@
     this->table.release(event.grant, event.service_time, now);
 }
 
-void slot_owner::on(ask_cancelled const& event, instant /*now*/)
+void slot_owner::on(slot_request_cancelled const& event, instant /*now*/)
 {
     this->queue.cancel(event.ticket);
 }
 
-void slot_owner::on(host_heard const& event, instant now)
+void slot_owner::on(heartbeat_received const& event, instant now)
 {
     this->table.renew(event.host, now + this->settings.grant_lifetime);
 }
@@ -140,8 +141,8 @@
     this->epoch = event.epoch;
     this->table.start_epoch(event.epoch);
     this->owner_until = event.until;
-    this->settled_at = now + event.settle;
-    this->reports_missing = event.hosts_to_report;
+    this->settled_at = now + event.settling_time;
+    this->pending_reports = event.hosts_to_report;
 }
 
 void slot_owner::on(ownership_renewed const& event, instant now)
@@ -163,9 +164,9 @@
         held.slot_was_free = false;
         this->table.adopt(held, now);
     }
-    if (event.complete && this->reports_missing > 0)
+    if (event.complete && this->pending_reports > 0)
     {
-        --this->reports_missing;
+        --this->pending_reports;
     }
 }
 
@@ -179,7 +180,7 @@
     this->move_waiting(now);
 }
 
-void slot_owner::on(usable_changed const& event, instant /*now*/)
+void slot_owner::on(usable_slots_changed const& event, instant /*now*/)
 {
     this->table.set_usable(event.upstream, event.usable);
 }
@@ -194,7 +195,7 @@
     slot_pool pool = this->table.pool();
     if (pool.usable == 0)
     {
-        return this->settings.admission.burst_wait;
+        return this->settings.admission.max_burst_wait;
     }
     if (this->table.free_slots() > 0 && this->queue.brief_waiting() == 0)
     {
@@ -202,7 +203,8 @@
     }
     // What was sent ahead waits too, only somewhere else.
     pool.free = 0;
-    return wait_behind(this->table.ahead(), pool.brief_time, pool.usable) +
+    return wait_behind(this->table.sent_in_advance(), pool.brief_time,
+                       pool.usable) +
            this->queue.expected_wait(flow, pool, now);
 }
 
@@ -210,7 +212,7 @@
                                                      duration time_left,
                                                      instant now) const
 {
-    if (!this->settings.moves)
+    if (!this->settings.allow_moves)
     {
         return std::nullopt;
     }
@@ -219,28 +221,29 @@
     for (std::uint32_t index = 0; index < this->zones.size(); ++index)
     {
         neighbour_zone const& zone = this->zones[index];
-        bool const known = zone.usable > 0 &&
-                           now - zone.seen_at < this->settings.load_lifetime;
-        if (!known)
+        bool const has_recent_load =
+            zone.usable > 0 &&
+            now - zone.seen_at < this->settings.load_lifetime;
+        if (!has_recent_load)
         {
             continue;
         }
         // What was moved there since its report is in front of this one.
-        duration const there =
+        duration const wait_there =
             2 * zone.distance + zone.expected_wait +
             wait_behind(zone.moved_since, this->table.mean_time(), zone.usable);
         // A distant zone only if it has room: its report is old, and when
         // all zones fill up together each would think the other is better.
         bool const distant = 2 * zone.distance > this->table.mean_time();
         if (distant &&
-            there - 2 * zone.distance > this->settings.longest_distant_wait)
+            wait_there - 2 * zone.distance > this->settings.max_distant_wait)
         {
             continue;
         }
-        if (there < shortest && there < time_left)
+        if (wait_there < shortest && wait_there < time_left)
         {
             best = index;
-            shortest = there;
+            shortest = wait_there;
         }
     }
     return best;
@@ -254,16 +257,16 @@
     {
         return false;
     }
-    slot_grant const& given =
+    slot_grant const& granted =
         this->table.grant(*upstream, request.host, request.length,
                           now + this->settings.grant_lifetime, now);
     this->effects.push_back(slot_granted{request.host, request.ticket,
-                                         *upstream, given.id, this->epoch,
+                                         *upstream, granted.id, this->epoch,
                                          this->settings.grant_lifetime});
     return true;
 }
 
-void slot_owner::serve(instant now)
+void slot_owner::grant_waiting(instant now)
 {
     if (!this->grants_slots(now))
     {
@@ -280,29 +283,30 @@
         {
             return;
         }
-        this->queue.next(pool, now);
+        this->queue.pop(pool, now);
     }
 }
 
-void slot_owner::give_up(instant now)
+void slot_owner::refuse_expired(instant now)
 {
     slot_pool const pool = this->table.pool();
-    for (std::optional<waiting_request> late =
-             this->queue.next_expired(pool, now);
-         late.has_value(); late = this->queue.next_expired(pool, now))
+    for (std::optional<waiting_request> expired =
+             this->queue.pop_expired(pool, now);
+         expired.has_value(); expired = this->queue.pop_expired(pool, now))
     {
-        this->refuse_request(*late,
+        this->refuse_request(*expired,
                              refuse{refusal_reason::deadline_passed,
-                                    this->expected_wait(late->flow, now)});
+                                    this->expected_wait(expired->flow, now)});
     }
 }
 
-void slot_owner::give_up_all()
+void slot_owner::refuse_all_waiting()
 {
-    for (std::optional<waiting_request> left = this->queue.next_to_give_up();
-         left.has_value(); left = this->queue.next_to_give_up())
+    for (std::optional<waiting_request> request = this->queue.pop_any();
+         request.has_value(); request = this->queue.pop_any())
     {
-        this->refuse_request(*left, refuse{refusal_reason::owner_changed, {}});
+        this->refuse_request(*request,
+                             refuse{refusal_reason::owner_changed, {}});
     }
 }
 
@@ -313,13 +317,13 @@
         // The last one gains most; if it does not gain, nobody does.
         std::optional<std::uint32_t> const zone =
             this->better_zone(this->expected_wait(0, now),
-                              this->settings.admission.burst_wait, now);
+                              this->settings.admission.max_burst_wait, now);
         if (!zone.has_value())
         {
             return;
         }
         std::optional<waiting_request> const request =
-            this->queue.next_to_move();
+            this->queue.pop_last_movable();
         if (!request.has_value())
         {
             return;
@@ -335,9 +339,10 @@
 }
 
 void slot_owner::refuse_request(waiting_request const& request,
-                                refuse const& why)
+                                refuse const& refusal)
 {
-    this->effects.push_back(slot_refused{request.host, request.ticket, why});
+    this->effects.push_back(
+        slot_refused{request.host, request.ticket, refusal});
 }
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/slot_owner.hpp
+++ b/bilberrylead/policy/slot_owner.hpp
@@ -62,28 +62,28 @@
     }
 
 private:
-    void on(slot_asked const& event, instant now);
+    void on(slot_requested const& event, instant now);
     void on(slot_released const& event, instant now);
-    void on(ask_cancelled const& event, instant now);
-    void on(host_heard const& event, instant now);
+    void on(slot_request_cancelled const& event, instant now);
+    void on(heartbeat_received const& event, instant now);
     void on(ownership_started const& event, instant now);
     void on(ownership_renewed const& event, instant now);
     void on(grant_reported const& event, instant now);
     void on(zone_load_reported const& event, instant now);
-    void on(usable_changed const& event, instant now);
+    void on(usable_slots_changed const& event, instant now);
     void on(time_passed const& event, instant now);
 
     duration expected_wait(std::uint32_t flow, instant now) const;
     std::optional<std::uint32_t>
     better_zone(duration wait_here, duration time_left, instant now) const;
     bool try_grant(waiting_request const& request, instant now);
-    void serve(instant now);
-    void give_up(instant now);
-    void give_up_all();
+    void grant_waiting(instant now);
+    void refuse_expired(instant now);
+    void refuse_all_waiting();
     bool owns_slots(instant now) const;
     void move_waiting(instant now);
     void move(waiting_request const& request, std::uint32_t zone);
-    void refuse_request(waiting_request const& request, refuse const& why);
+    void refuse_request(waiting_request const& request, refuse const& refusal);
 
     slot_owner_settings settings;
     slot_table table;
@@ -93,7 +93,7 @@
     std::uint64_t epoch = 0;
     instant owner_until;
     instant settled_at;
-    std::uint32_t reports_missing = 0;
+    std::uint32_t pending_reports = 0;
 };
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/slot_owner_event.hpp
+++ b/bilberrylead/policy/slot_owner_event.hpp
@@ -12,7 +12,7 @@
 {
 
 /// An entry host asks for a slot for one request.
-struct slot_asked
+struct slot_requested
 {
     /// The entry host.
     std::uint32_t host = 0;
@@ -41,7 +41,7 @@
 };
 
 /// The caller went away before a slot was granted.
-struct ask_cancelled
+struct slot_request_cancelled
 {
     /// The entry host.
     std::uint32_t host = 0;
@@ -50,7 +50,7 @@
 };
 
 /// An entry host lives: its grants go on.
-struct host_heard
+struct heartbeat_received
 {
     /// The entry host.
     std::uint32_t host = 0;
@@ -66,7 +66,7 @@
     instant until;
     /// How long the former owner's grants may still run if nobody reports
     /// them; zero for the first owner ever.
-    duration settle{};
+    duration settling_time{};
     /// Entry hosts that will report what they hold (see grants_reported).
     std::uint32_t hosts_to_report = 0;
 };
@@ -100,7 +100,7 @@
 };
 
 /// The slots of an upstream that may be used changed.
-struct usable_changed
+struct usable_slots_changed
 {
     /// The upstream, by its place in the owner's list.
     std::uint32_t upstream = 0;
@@ -115,9 +115,10 @@
 
 /// What a slot_owner reduces.
 using slot_owner_event =
-    std::variant<slot_asked, slot_released, ask_cancelled, host_heard,
-                 ownership_started, ownership_renewed, grant_reported,
-                 zone_load_reported, usable_changed, time_passed>;
+    std::variant<slot_requested, slot_released, slot_request_cancelled,
+                 heartbeat_received, ownership_started, ownership_renewed,
+                 grant_reported, zone_load_reported, usable_slots_changed,
+                 time_passed>;
 
 } // namespace bilberrylead::policy
 
--- a/bilberrylead/policy/slot_owner_settings.hpp
+++ b/bilberrylead/policy/slot_owner_settings.hpp
@@ -29,11 +29,11 @@
     /// request's service) that a request may move to. Two service times: in
     /// a burst that hits all zones a longer bound lets requests cross each
     /// other's way for nothing, a shorter one leaves room unused.
-    duration longest_distant_wait = std::chrono::milliseconds(40);
+    duration max_distant_wait = std::chrono::milliseconds(40);
     /// Age at which another zone's load is no longer believed.
     duration load_lifetime = std::chrono::milliseconds(500);
     /// False keeps every request in its zone (for comparison).
-    bool moves = true;
+    bool allow_moves = true;
 };
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/slot_table.cpp
+++ b/bilberrylead/policy/slot_table.cpp
@@ -15,8 +15,8 @@
 
 /// Time over which the load of brief work is averaged.
 constexpr duration load_window = std::chrono::seconds(1);
-constexpr duration first_brief_time = std::chrono::milliseconds(20);
-constexpr duration first_long_time = std::chrono::seconds(2);
+constexpr duration initial_brief_time = std::chrono::milliseconds(20);
+constexpr duration initial_long_time = std::chrono::seconds(2);
 /// Weight of one answer in the pool's mean.
 constexpr double pool_weight = 0.005;
 /// Share of brief requests that are done within the reserve.
@@ -26,20 +26,20 @@
 
 slot_table::slot_table(std::vector<std::uint32_t> const& slots,
                        slot_table_settings const& settings)
-    : settings(settings), brief_times(first_brief_time),
-      long_times(first_long_time),
-      pool_log(std::log(static_cast<double>(first_brief_time.count())))
+    : settings(settings), brief_times(initial_brief_time),
+      long_times(initial_long_time),
+      pool_mean_log(std::log(static_cast<double>(initial_brief_time.count())))
 {
-    std::size_t most_grants = 0;
+    std::size_t max_grants = 0;
     for (std::uint32_t const count : slots)
     {
         upstream_slots upstream;
         upstream.slots = count;
         upstream.usable = count;
         this->upstreams.push_back(upstream);
-        most_grants += count + settings.sent_ahead;
+        max_grants += count + settings.max_sent_in_advance;
     }
-    this->grants.reserve(2 * most_grants);
+    this->grants.reserve(2 * max_grants);
 }
 
 slot_pool slot_table::pool() const
@@ -51,9 +51,10 @@
         {
             continue;
         }
-        std::uint32_t const most = upstream.usable + this->settings.sent_ahead;
+        std::uint32_t const max_granted =
+            upstream.usable + this->settings.max_sent_in_advance;
         pool.usable += upstream.usable;
-        pool.free += most - std::min(most, upstream.granted);
+        pool.free += max_granted - std::min(max_granted, upstream.granted);
     }
     pool.long_held = this->long_held;
     pool.brief_average = this->brief_average;
@@ -69,8 +70,8 @@
     std::optional<std::uint32_t> const fast = this->pick_fast();
     std::optional<std::uint32_t> const slow = this->pick_slow();
     if (slow.has_value() &&
-        this->slow_is_worth_it(this->upstreams[*slow], fast.has_value(),
-                               expected_wait, time_left, now))
+        this->should_use_slow(this->upstreams[*slow], fast.has_value(),
+                              expected_wait, time_left, now))
     {
         return slow;
     }
@@ -86,15 +87,15 @@
     for (std::uint32_t index = 0; index < this->upstreams.size(); ++index)
     {
         upstream_slots const& upstream = this->upstreams[index];
-        std::int64_t const room =
+        std::int64_t const unused =
             std::int64_t{upstream.usable} - upstream.granted;
         if (upstream.slow || upstream.usable == 0 ||
-            room + this->settings.sent_ahead <= 0)
+            unused + this->settings.max_sent_in_advance <= 0)
         {
             continue;
         }
         std::int64_t const rank =
-            room > 0 ? room : room * 1000 - upstream.long_held;
+            unused > 0 ? unused : unused * 1000 - upstream.long_held;
         if (!picked.has_value() || rank > best)
         {
             picked = index;
@@ -117,9 +118,9 @@
     return std::nullopt;
 }
 
-bool slot_table::slow_is_worth_it(upstream_slots const& slow, bool fast_found,
-                                  duration expected_wait, duration time_left,
-                                  instant now) const
+bool slot_table::should_use_slow(upstream_slots const& slow, bool fast_found,
+                                 duration expected_wait, duration time_left,
+                                 instant now) const
 {
     // Nearly every request must still make its deadline there.
     double const times = std::exp(slow.log_ratio);
@@ -146,20 +147,20 @@
                                     instant now)
 {
     assert(upstream < this->upstreams.size());
-    this->note_load(now);
+    this->record_load(now);
     upstream_slots& slots = this->upstreams[upstream];
-    slot_grant given;
-    given.id = ++this->last_id;
-    given.upstream = upstream;
-    given.host = host;
-    given.length = length;
-    given.expires = expires;
-    given.slot_was_free = slots.granted < slots.usable;
+    slot_grant granted_slot;
+    granted_slot.id = ++this->last_id;
+    granted_slot.upstream = upstream;
+    granted_slot.host = host;
+    granted_slot.length = length;
+    granted_slot.expires = expires;
+    granted_slot.slot_was_free = slots.granted < slots.usable;
     ++slots.granted;
     slots.last_probe = now;
     slots.long_held += length == work_length::extended ? 1 : 0;
     this->long_held += length == work_length::extended ? 1 : 0;
-    this->grants.push_back(given);
+    this->grants.push_back(granted_slot);
     return this->grants.back();
 }
 
@@ -171,14 +172,14 @@
 
 void slot_table::adopt(slot_grant const& held, instant now)
 {
-    for (slot_grant const& known : this->grants)
+    for (slot_grant const& existing : this->grants)
     {
-        if (known.id == held.id)
+        if (existing.id == held.id)
         {
             return;
         }
     }
-    this->note_load(now);
+    this->record_load(now);
     upstream_slots& slots = this->upstreams.at(held.upstream);
     ++slots.granted;
     slots.long_held += held.length == work_length::extended ? 1 : 0;
@@ -197,12 +198,13 @@
         slot_grant const held = this->grants[index];
         this->grants[index] = this->grants.back();
         this->grants.pop_back();
-        this->give_back(held, now);
+        this->return_slot(held, now);
         if (service_time > duration{} && held.slot_was_free)
         {
             if (held.length == work_length::brief)
             {
-                this->note_time(this->upstreams[held.upstream], service_time);
+                this->record_service_time(this->upstreams[held.upstream],
+                                          service_time);
             }
             else
             {
@@ -235,7 +237,7 @@
             ++index;
             continue;
         }
-        this->give_back(this->grants[index], now);
+        this->return_slot(this->grants[index], now);
         this->grants[index] = this->grants.back();
         this->grants.pop_back();
         ++expired;
@@ -243,9 +245,9 @@
     return expired;
 }
 
-void slot_table::give_back(slot_grant const& grant, instant now)
+void slot_table::return_slot(slot_grant const& grant, instant now)
 {
-    this->note_load(now);
+    this->record_load(now);
     upstream_slots& slots = this->upstreams[grant.upstream];
     assert(slots.granted > 0);
     --slots.granted;
@@ -275,7 +277,7 @@
     return free;
 }
 
-std::uint32_t slot_table::ahead() const
+std::uint32_t slot_table::sent_in_advance() const
 {
     std::uint32_t sent = 0;
     for (upstream_slots const& upstream : this->upstreams)
@@ -285,16 +287,16 @@
     return sent;
 }
 
-bool slot_table::slow(std::uint32_t upstream) const
+bool slot_table::is_slow(std::uint32_t upstream) const
 {
     return this->upstreams.at(upstream).slow;
 }
 
-void slot_table::note_load(instant now)
+void slot_table::record_load(instant now)
 {
     // A first-order average: what was held until now, weighed by how long.
-    duration const passed = now - this->load_noted_at;
-    this->load_noted_at = now;
+    duration const passed = now - this->load_recorded_at;
+    this->load_recorded_at = now;
     double const keep = std::exp(-static_cast<double>(passed.count()) /
                                  static_cast<double>(load_window.count()));
     double const brief_held =
@@ -302,7 +304,7 @@
     this->brief_average = keep * this->brief_average + (1 - keep) * brief_held;
 }
 
-bool slot_table::may_be_slow() const
+bool slot_table::may_flag_slow() const
 {
     // At most half of them: when all get slow, it is what lies behind them,
     // and setting them aside would leave no slots at all.
@@ -314,24 +316,25 @@
     return this->settings.avoid_slow && 2 * slow <= this->upstreams.size();
 }
 
-void slot_table::note_time(upstream_slots& upstream, duration service_time)
+void slot_table::record_service_time(upstream_slots& upstream,
+                                     duration service_time)
 {
     double const sample = std::log(static_cast<double>(service_time.count()));
     double const weight = upstream.slow ? this->settings.probe_weight
                                         : this->settings.mean_weight;
     upstream.log_ratio +=
-        weight * (sample - this->pool_log - upstream.log_ratio);
+        weight * (sample - this->pool_mean_log - upstream.log_ratio);
 
     // Leaving "slow" takes a lower ratio than entering it, or an upstream at
     // the border would change with each answer.
-    double const border = std::log(this->settings.slow_ratio);
-    upstream.slow = upstream.slow
-                        ? upstream.log_ratio > border / 2
-                        : upstream.log_ratio > border && this->may_be_slow();
+    double const threshold = std::log(this->settings.slow_ratio);
+    upstream.slow =
+        upstream.slow ? upstream.log_ratio > threshold / 2
+                      : upstream.log_ratio > threshold && this->may_flag_slow();
     if (!upstream.slow)
     {
         this->brief_times.add(service_time);
-        this->pool_log += pool_weight * (sample - this->pool_log);
+        this->pool_mean_log += pool_weight * (sample - this->pool_mean_log);
     }
 }
 
--- a/bilberrylead/policy/slot_table.hpp
+++ b/bilberrylead/policy/slot_table.hpp
@@ -70,10 +70,10 @@
     std::uint32_t free_slots() const;
 
     /// Requests sent ahead of a free slot, over all upstreams.
-    std::uint32_t ahead() const;
+    std::uint32_t sent_in_advance() const;
 
     /// True if the upstream is treated as slow.
-    bool slow(std::uint32_t upstream) const;
+    bool is_slow(std::uint32_t upstream) const;
 
     /// Mean service time of brief work in the pool.
     duration mean_time() const
@@ -96,13 +96,13 @@
 
     std::optional<std::uint32_t> pick_fast() const;
     std::optional<std::uint32_t> pick_slow() const;
-    bool slow_is_worth_it(upstream_slots const& slow, bool fast_found,
-                          duration expected_wait, duration time_left,
-                          instant now) const;
-    bool may_be_slow() const;
-    void note_load(instant now);
-    void note_time(upstream_slots& upstream, duration service_time);
-    void give_back(slot_grant const& grant, instant now);
+    bool should_use_slow(upstream_slots const& slow, bool fast_found,
+                         duration expected_wait, duration time_left,
+                         instant now) const;
+    bool may_flag_slow() const;
+    void record_load(instant now);
+    void record_service_time(upstream_slots& upstream, duration service_time);
+    void return_slot(slot_grant const& grant, instant now);
 
     slot_table_settings settings;
     std::vector<upstream_slots> upstreams;
@@ -113,8 +113,8 @@
     std::uint32_t long_held = 0;
     double brief_average = 0;
     /// Mean of the logarithm of brief service times in ns.
-    double pool_log = 0;
-    instant load_noted_at;
+    double pool_mean_log = 0;
+    instant load_recorded_at;
 };
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/slot_table_settings.hpp
+++ b/bilberrylead/policy/slot_table_settings.hpp
@@ -17,7 +17,7 @@
     /// comes free. Otherwise the slot stands empty for the release, the
     /// grant and the request to travel, about 1 ms of 20 ms even within a
     /// zone, which is all the room there is at 95 % of slots.
-    std::uint32_t sent_ahead = 1;
+    std::uint32_t max_sent_in_advance = 1;
     /// An upstream is slow when its service time (geometric mean) is over
     /// this many times the pool's. Service times are spread about as a
     /// log-normal of sigma 1: the logarithm's mean over the last forty
--- a/bilberrylead/policy/rate_limit.hpp
+++ b/bilberrylead/policy/token_bucket.hpp
@@ -1,5 +1,5 @@
-#ifndef BILBERRYLEAD_POLICY_RATE_LIMIT_HPP
-#define BILBERRYLEAD_POLICY_RATE_LIMIT_HPP
+#ifndef BILBERRYLEAD_POLICY_TOKEN_BUCKET_HPP
+#define BILBERRYLEAD_POLICY_TOKEN_BUCKET_HPP
 
 #include "bilberrylead/core/time.hpp"
 
@@ -13,12 +13,12 @@
 /// Load it answers: an upstream with cold caches, which crashes under what
 /// it bears when warm. Each entry host keeps to its share of the rate, so
 /// that the sum holds although none of them sees the others' requests.
-class rate_limit
+class token_bucket
 {
 public:
     /// Makes a bucket that holds one token and never more than `most`.
-    explicit rate_limit(double most_tokens = 1)
-        : most(most_tokens), tokens(most_tokens)
+    explicit token_bucket(double capacity = 1)
+        : capacity(capacity), tokens(capacity)
     {
     }
 
@@ -29,23 +29,23 @@
     }
 
     /// Takes a token; the bucket goes below zero if there is none.
-    void take(double tokens_per_second, instant now)
+    void consume(double tokens_per_second, instant now)
     {
         this->tokens = this->level(tokens_per_second, now) - 1;
-        this->counted_at = now;
+        this->updated_at = now;
     }
 
 private:
     double level(double tokens_per_second, instant now) const
     {
-        std::chrono::duration<double> const passed = now - this->counted_at;
+        std::chrono::duration<double> const passed = now - this->updated_at;
         double const filled = this->tokens + passed.count() * tokens_per_second;
-        return filled < this->most ? filled : this->most;
+        return filled < this->capacity ? filled : this->capacity;
     }
 
-    double most;
+    double capacity;
     double tokens;
-    instant counted_at{};
+    instant updated_at{};
 };
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/upstream_placement.cpp
+++ b/bilberrylead/policy/upstream_placement.cpp
@@ -1,7 +1,7 @@
 #include "bilberrylead/policy/upstream_placement.hpp"
 
 #include "bilberrylead/policy/generator.hpp"
-#include "bilberrylead/policy/return_time.hpp"
+#include "bilberrylead/policy/retry_time.hpp"
 
 #include <algorithm>
 #include <cassert>
@@ -149,7 +149,7 @@
         return *best;
     }
     return no_room_to_place{
-        best->wait, return_time(best->wait - borne, this->settings, random)};
+        best->wait, retry_time(best->wait - borne, this->settings, random)};
 }
 
 } // namespace bilberrylead::policy
--- a/performance/policy_bench/ideal_model.cpp
+++ b/performance/policy_bench/ideal_model.cpp
@@ -149,7 +149,7 @@
         }
         pool.free = 1;
         std::optional<waiting_request> const next =
-            this->queue.next(pool, this->events.now());
+            this->queue.pop(pool, this->events.now());
         if (!next.has_value())
         {
             return;
--- a/performance/policy_bench/owner_model.cpp
+++ b/performance/policy_bench/owner_model.cpp
@@ -186,7 +186,7 @@
     duration const way_back =
         at.moved ? this->where.distance(this->host_zones[at.host], at.zone)
                  : duration{};
-    slot_asked asked;
+    slot_requested asked;
     asked.host = at.asker;
     asked.ticket = request;
     asked.flow = one.flow;
@@ -251,7 +251,7 @@
         {
             if (this->host_zones[host] == zone)
             {
-                this->reduce(zone, host_heard{host});
+                this->reduce(zone, heartbeat_received{host});
             }
         }
         this->reduce(zone, time_passed{});
--- a/performance/policy_bench/policy_row.cpp
+++ b/performance/policy_bench/policy_row.cpp
@@ -47,8 +47,8 @@
 policy_row fixed_parts(std::string name, bool moves)
 {
     slot_owner_settings settings;
-    settings.moves = moves;
-    settings.slots.sent_ahead = 0;
+    settings.allow_moves = moves;
+    settings.slots.max_sent_in_advance = 0;
     return {std::move(name),
             [settings](profile const& where, scenario const& what,
                        std::vector<arrival> const& arrivals)
@@ -64,8 +64,8 @@
 policy_row ideal_of_regions()
 {
     slot_owner_settings settings;
-    settings.moves = false;
-    settings.slots.sent_ahead = 0;
+    settings.allow_moves = false;
+    settings.slots.max_sent_in_advance = 0;
     settings.admission.queue.by_flow = false;
     return {"ideal within each region",
             [settings](profile const& where, scenario const& what,
@@ -109,12 +109,12 @@
     rows.push_back(without("ours, moves off",
                            [](slot_owner_settings& s)
                            {
-                               s.moves = false;
+                               s.allow_moves = false;
                            }));
     rows.push_back(without("ours, nothing sent ahead",
                            [](slot_owner_settings& s)
                            {
-                               s.slots.sent_ahead = 0;
+                               s.slots.max_sent_in_advance = 0;
                            }));
     rows.push_back(without("ours, slow not avoided",
                            [](slot_owner_settings& s)
--- a/tests/unit/control/control_reducer_test.cpp
+++ b/tests/unit/control/control_reducer_test.cpp
@@ -512,9 +512,9 @@
     for (std::size_t place = 0; place < control_group::hosts; ++place)
     {
         std::vector<policy::crash_record> const held =
-            group.nodes.at(place)->crash_records().all();
+            group.nodes.at(place)->crash_records().records();
         cr_assert_eq(held.size(), 1U);
-        cr_expect(held.front().ended.empty());
+        cr_expect(held.front().ended_upstreams.empty());
     }
     group.ask(group.leader, 2, control::lift_crash_record{9, "alba"});
     cr_expect(kind_of(refusal_of(group.answer_to(2))) ==
--- a/tests/unit/entry/entry_reducer_test.cpp
+++ b/tests/unit/entry/entry_reducer_test.cpp
@@ -106,7 +106,7 @@
 {
     driven_entry entry;
     entry.arrive(1, "post");
-    unsigned const attempts = entry.reducer.settings().retry.most_attempts;
+    unsigned const attempts = entry.reducer.settings().retry.max_attempts;
     for (std::uint32_t each = 1; each < attempts; ++each)
     {
         entry.fail(1, exchange_phase::not_sent);
--- a/tests/unit/entry/upstream_fleet.hpp
+++ b/tests/unit/entry/upstream_fleet.hpp
@@ -351,7 +351,7 @@
     /// One host tells another all that it knows.
     void exchange(std::size_t from, std::size_t to)
     {
-        this->tell(from, to, this->processes[from]->crash_records().all());
+        this->tell(from, to, this->processes[from]->crash_records().records());
     }
 
     void tell(std::size_t from, std::size_t to,
--- a/tests/unit/policy/admission_queue_test.cpp
+++ b/tests/unit/policy/admission_queue_test.cpp
@@ -47,7 +47,7 @@
 
 } // namespace
 
-Test(admission_queue, request_when_a_slot_is_free_runs_now)
+Test(admission_queue, request_is_admitted_when_a_slot_is_free)
 {
     queue_fixture fixture;
     fixture.pool.free = 1;
@@ -59,7 +59,7 @@
 // Without the bound (bounded = false) all of them wait, the last one for
 // 1.3 s and beyond its use; with it the first 0.5 s worth of them wait and
 // the others hear at once when to come back.
-Test(admission_queue, burst_when_beyond_the_bound_is_refused_at_once)
+Test(admission_queue, burst_beyond_the_bound_is_refused_at_once)
 {
     queue_fixture fixture;
     int waiting = 0;
@@ -98,7 +98,7 @@
 // One payroll bureau sends 500 requests, then 20 other callers send one
 // each. Served in order of arrival (by_flow = false), the bureau fills the
 // bound and all 20 are refused; by flow, all 20 wait, and are served first.
-Test(admission_queue, heavy_caller_when_others_come_holds_only_its_share)
+Test(admission_queue, heavy_caller_holds_only_its_share)
 {
     for (bool const by_flow : {false, true})
     {
@@ -114,13 +114,12 @@
         cr_assert_eq(others, by_flow ? 20 : 0);
 
         fixture.pool.free = 1;
-        fixture.queue.next(fixture.pool, fixture.now);
+        fixture.queue.pop(fixture.pool, fixture.now);
         int first_twenty_others = 0;
         for (int served = 0; served < 21; ++served)
         {
             first_twenty_others +=
-                fixture.queue.next(fixture.pool, fixture.now)->flow != 1 ? 1
-                                                                         : 0;
+                fixture.queue.pop(fixture.pool, fixture.now)->flow != 1 ? 1 : 0;
         }
         cr_assert_eq(first_twenty_others, by_flow ? 20 : 0);
     }
@@ -128,7 +127,7 @@
 
 // Downloads among look-ups: with the limit switched off three downloads
 // take all three slots, and each look-up waits for seconds.
-Test(admission_queue, downloads_when_lookups_come_leave_slots)
+Test(admission_queue, downloads_leave_slots_for_lookups)
 {
     for (bool const enabled : {false, true})
     {
@@ -152,7 +151,7 @@
 
 // Saturation: the queue has stood for seconds. It gets shorter, since a
 // long one would serve no more requests and only make each of them later.
-Test(admission_queue, standing_queue_keeps_a_shorter_wait)
+Test(admission_queue, standing_queue_has_a_shorter_max_wait)
 {
     queue_fixture fixture;
     fixture.offer_many(1, 1);
@@ -165,12 +164,12 @@
     cr_assert_eq(waiting, 29);
 }
 
-Test(admission_queue, request_that_waited_too_long_is_given_up_at_once)
+Test(admission_queue, request_that_cannot_meet_its_deadline_expires)
 {
     queue_fixture fixture;
     fixture.offer(1, 300ms);
-    cr_assert_not(fixture.queue.next_expired(fixture.pool, fixture.now));
+    cr_assert_not(fixture.queue.pop_expired(fixture.pool, fixture.now));
     fixture.now += 101ms;
-    cr_assert(fixture.queue.next_expired(fixture.pool, fixture.now));
+    cr_assert(fixture.queue.pop_expired(fixture.pool, fixture.now));
     cr_assert_eq(fixture.queue.size(), 0);
 }
--- a/tests/unit/policy/bulk_pace_test.cpp
+++ b/tests/unit/policy/bulk_pacer_test.cpp
@@ -1,4 +1,4 @@
-#include "bilberrylead/policy/bulk_pace.hpp"
+#include "bilberrylead/policy/bulk_pacer.hpp"
 
 #include <criterion/criterion.h>
 
@@ -7,7 +7,7 @@
 
 using namespace bilberrylead;
 using namespace std::chrono_literals;
-using policy::bulk_pace;
+using policy::bulk_pacer;
 
 namespace
 {
@@ -20,9 +20,9 @@
 
 // A caller's look-up waits behind 90 KB of somebody else's download: the
 // download's pieces are spread over the time the link needs for them.
-Test(bulk_pace, pieces_of_a_long_answer_are_spread_over_the_links_time)
+Test(bulk_pacer, long_answer_is_paced_at_the_link_rate)
 {
-    bulk_pace pace(six_mbit);
+    bulk_pacer pace(six_mbit);
     duration waited{};
     std::size_t passed = 0;
     instant now = start;
@@ -37,9 +37,9 @@
     cr_expect_lt(waited, 160ms);
 }
 
-Test(bulk_pace, short_answer_never_waits)
+Test(bulk_pacer, short_answer_never_waits)
 {
-    bulk_pace pace(six_mbit);
+    bulk_pacer pace(six_mbit);
     for (std::size_t passed = 0; passed < 20 * piece; passed += piece)
     {
         pace.reserve(passed, piece, start);
@@ -47,9 +47,9 @@
     cr_expect_eq(pace.reserve(0, 1500, start), duration::zero());
 }
 
-Test(bulk_pace, short_answers_delay_long_ones)
+Test(bulk_pacer, short_answers_delay_long_ones)
 {
-    bulk_pace pace(six_mbit);
+    bulk_pacer pace(six_mbit);
     for (int answer = 0; answer < 50; ++answer)
     {
         cr_expect_eq(pace.reserve(0, 1500, start), duration::zero());
@@ -58,9 +58,9 @@
 }
 
 // A download must not be taken for dead, however many there are.
-Test(bulk_pace, no_piece_waits_longer_than_the_limit)
+Test(bulk_pacer, no_piece_waits_longer_than_the_max_wait)
 {
-    bulk_pace pace(six_mbit);
+    bulk_pacer pace(six_mbit);
     duration longest{};
     for (int answer = 0; answer < 200; ++answer)
     {
@@ -71,9 +71,9 @@
 
 // A crowd of downloads is over and the link idle: a later one must not wait
 // for what the crowd took beyond the pace.
-Test(bulk_pace, crowd_that_is_over_delays_nobody)
+Test(bulk_pacer, finished_downloads_do_not_delay_later_ones)
 {
-    bulk_pace pace(six_mbit);
+    bulk_pacer pace(six_mbit);
     for (int answer = 0; answer < 200; ++answer)
     {
         pace.reserve(piece, piece, start);
@@ -81,9 +81,9 @@
     cr_expect_eq(pace.reserve(piece, piece, start + 300ms), duration::zero());
 }
 
-Test(bulk_pace, link_that_is_not_known_paces_nothing)
+Test(bulk_pacer, unknown_link_rate_disables_pacing)
 {
-    bulk_pace pace(0);
+    bulk_pacer pace(0);
     for (int answer = 0; answer < 50; ++answer)
     {
         cr_expect_eq(pace.reserve(piece, piece, start), duration::zero());
--- a/tests/unit/policy/choice_and_retry_test.cpp
+++ b/tests/unit/policy/choice_and_retry_test.cpp
@@ -94,16 +94,16 @@
 {
     retry_budget budget;
     generator random(1);
-    retry_question const question{true, false, 1, instant(2s), 100ms};
+    retry_request const question{true, false, 1, instant(2s), 100ms};
     int retries = 0;
     for (int request = 0; request < 1000; ++request)
     {
-        retries += budget.ask(question, instant{}, random) ? 1 : 0;
+        retries += budget.request_retry(question, instant{}, random) ? 1 : 0;
     }
     cr_assert_eq(retries, 3);
     for (int request = 0; request < 1000; ++request)
     {
-        budget.succeeded();
+        budget.record_success();
     }
     cr_assert_float_eq(budget.available(), 10, 1e-9);
 }
@@ -112,17 +112,18 @@
 {
     retry_budget budget;
     generator random(1);
-    retry_question question{false, false, 1, instant(2s), 100ms};
-    cr_assert_not(budget.ask(question, instant{}, random));
-    question.surely_not_run = true;
-    cr_assert(budget.ask(question, instant{}, random));
+    retry_request question{false, false, 1, instant(2s), 100ms};
+    cr_assert_not(budget.request_retry(question, instant{}, random));
+    question.certainly_not_run = true;
+    cr_assert(budget.request_retry(question, instant{}, random));
 }
 
 Test(retry_budget, retry_beyond_the_deadline_or_attempts_is_given_up)
 {
     retry_budget budget;
     generator random(1);
+    cr_assert_not(budget.request_retry({true, false, 1, instant(50ms), 100ms},
+                                       {}, random));
     cr_assert_not(
-        budget.ask({true, false, 1, instant(50ms), 100ms}, {}, random));
-    cr_assert_not(budget.ask({true, false, 3, instant(2s), 100ms}, {}, random));
+        budget.request_retry({true, false, 3, instant(2s), 100ms}, {}, random));
 }
--- a/tests/unit/policy/crash_history_test.cpp
+++ b/tests/unit/policy/crash_history_test.cpp
@@ -30,7 +30,7 @@
     crash_history history;
     for (char const* const name : ended)
     {
-        history.note_crash(request, upstream(name), start);
+        history.record_crash(request, upstream(name), start);
     }
     return history;
 }
@@ -59,7 +59,7 @@
 
 // Guards against innocent requests that are refused since they ran beside
 // one that crashes upstreams.
-Test(crash_history, whole_answer_clears_on_all_hosts)
+Test(crash_history, complete_answer_clears_on_all_hosts)
 {
     crash_history here = history_of({"a", "b"});
     crash_history there = history_of({"a", "b"});
@@ -72,28 +72,28 @@
     cr_expect(!here.clear(request, start).has_value());
 }
 
-Test(crash_history, merged_histories_agree_whatever_the_order)
+Test(crash_history, merged_histories_agree_in_any_order)
 {
     crash_history one = history_of({"a", "d"});
     crash_history other = history_of({"b", "c"});
-    crash_merge const merged = other.merge(one.all(), start);
-    cr_assert_eq(merged.missing_there.size(), 1U);
-    one.merge(merged.missing_there, start);
-    cr_expect(one.all() == other.all());
+    crash_merge const merged = other.merge(one.records(), start);
+    cr_assert_eq(merged.missing_at_sender.size(), 1U);
+    one.merge(merged.missing_at_sender, start);
+    cr_expect(one.records() == other.records());
     cr_expect(one.verdict_of(request) == crash_verdict::refused);
     // Nothing more to tell: messages end.
-    cr_expect(one.merge(other.all(), start).learned.empty());
-    cr_expect(one.merge(other.all(), start).missing_there.empty());
+    cr_expect(one.merge(other.records(), start).changed.empty());
+    cr_expect(one.merge(other.records(), start).missing_at_sender.empty());
 }
 
-Test(crash_history, refused_request_is_kept_while_it_comes_again)
+Test(crash_history, refused_request_is_kept_while_it_repeats)
 {
     crash_history history = history_of({"a", "b", "c"});
     instant now = start;
     for (int hour = 0; hour < 4; ++hour)
     {
         now += 20min;
-        history.note_repeat(request, now);
+        history.record_repeat(request, now);
         history.expire(now);
         cr_expect(history.verdict_of(request) == crash_verdict::refused);
     }
@@ -103,24 +103,24 @@
 
 // Guards against a caller whose many requests push out the one that crashes
 // upstreams, and against hosts that hand evicted records round for ever.
-Test(crash_history, full_history_keeps_what_is_refused)
+Test(crash_history, full_history_keeps_refused_requests)
 {
     policy::crash_history_settings settings;
-    settings.most_records = 4;
+    settings.max_records = 4;
     crash_history history(settings);
     for (char const* const name : {"a", "b", "c"})
     {
-        history.note_crash(request, upstream(name), start);
+        history.record_crash(request, upstream(name), start);
     }
     for (std::uint64_t other = 100; other < 200; ++other)
     {
-        history.note_crash(other, upstream("a"), start + 1s);
+        history.record_crash(other, upstream("a"), start + 1s);
     }
     cr_expect_eq(history.size(), 4U);
-    cr_expect_eq(history.evicted(), 97U);
+    cr_expect_eq(history.evicted_count(), 97U);
     cr_expect(history.verdict_of(request) == crash_verdict::refused);
     crash_merge const merged =
         history.merge({{300, 0, {upstream("a")}}}, start + 2s);
-    cr_expect(merged.learned.empty());
+    cr_expect(merged.changed.empty());
     cr_expect_eq(history.size(), 4U);
 }
--- a/tests/unit/policy/fair_queue_test.cpp
+++ b/tests/unit/policy/fair_queue_test.cpp
@@ -11,14 +11,15 @@
 namespace
 {
 
-waiting_request request(std::uint64_t ticket, std::uint32_t flow, instant at)
+waiting_request make_request(std::uint64_t ticket, std::uint32_t flow,
+                             instant at)
 {
-    waiting_request made;
-    made.ticket = ticket;
-    made.flow = flow;
-    made.arrived = at;
-    made.deadline = at + 10s;
-    return made;
+    waiting_request request;
+    request.ticket = ticket;
+    request.flow = flow;
+    request.arrived = at;
+    request.deadline = at + 10s;
+    return request;
 }
 
 } // namespace
@@ -30,14 +31,14 @@
 {
     fair_queue queue;
     instant now{};
-    queue.push(request(1, 1, now), 2ms);
-    queue.push(request(2, 1, now), 2ms);
+    queue.push(make_request(1, 1, now), 2ms);
+    queue.push(make_request(2, 1, now), 2ms);
     int served = 0;
     bool second_served = false;
     for (std::uint32_t flow = 2; flow < 50 && !second_served; ++flow)
     {
         now += 2ms;
-        queue.push(request(flow + 100, flow, now), 2ms);
+        queue.push(make_request(flow + 100, flow, now), 2ms);
         second_served = queue.pop()->ticket == 2;
         ++served;
     }
@@ -50,7 +51,7 @@
     fair_queue queue;
     for (std::uint32_t flow = 1; flow <= 5; ++flow)
     {
-        queue.push(request(flow, flow, instant(flow * 1ms)), 2ms);
+        queue.push(make_request(flow, flow, instant(flow * 1ms)), 2ms);
     }
     for (std::uint64_t ticket = 1; ticket <= 5; ++ticket)
     {
@@ -58,14 +59,14 @@
     }
 }
 
-Test(fair_queue, full_queue_takes_nothing_and_counts_stay_right)
+Test(fair_queue, full_queue_accepts_nothing_and_keeps_its_counts)
 {
     fair_queue_settings settings;
     settings.capacity = 2;
     fair_queue queue(settings);
-    cr_assert(queue.push(request(1, 1, {}), 2ms));
-    cr_assert(queue.push(request(2, 2, {}), 2ms));
-    cr_assert_not(queue.push(request(3, 3, {}), 2ms));
+    cr_assert(queue.push(make_request(1, 1, {}), 2ms));
+    cr_assert(queue.push(make_request(2, 2, {}), 2ms));
+    cr_assert_not(queue.push(make_request(3, 3, {}), 2ms));
     cr_assert(queue.remove(1));
     cr_assert_not(queue.remove(1));
     cr_assert_eq(queue.flows_waiting(), 1);
--- a/tests/unit/policy/shared_limit_test.cpp
+++ b/tests/unit/policy/shared_limit_test.cpp
@@ -25,7 +25,7 @@
     {
         if (limit.has_token(now))
         {
-            limit.take(now, random);
+            limit.consume(now, random);
             ++sent;
         }
     }
@@ -43,7 +43,7 @@
     cr_expect(limit.has_token(start));
 }
 
-Test(shared_limit, rate_of_the_limit_is_sent)
+Test(shared_limit, requests_are_sent_at_the_limit)
 {
     shared_limit limit;
     cr_expect(limit.observe(2.0, start));
@@ -53,25 +53,25 @@
     cr_expect_geq(sent, 36);
 }
 
-Test(shared_limit, what_others_send_counts)
+Test(shared_limit, requests_of_other_hosts_count)
 {
     policy::generator random(1);
     shared_limit limit;
     limit.observe(2.0, start);
-    limit.hear(other, 5, start, random);
+    limit.record_peer_sent(other, 5, start, random);
     cr_expect_not(limit.has_token(start + 500ms));
     // The same sum twice counts once.
     for (int time = 0; time < 10; ++time)
     {
-        limit.hear(other, 5, start + 1s, random);
+        limit.record_peer_sent(other, 5, start + 1s, random);
     }
     cr_expect(limit.has_token(start + 3s));
-    limit.hear(other, 9, start + 3s, random);
+    limit.record_peer_sent(other, 9, start + 3s, random);
     cr_expect_not(limit.has_token(start + 4s));
 }
 
 // Guards against news that come late and bring an ended limit back.
-Test(shared_limit, older_words_of_the_upstream_change_nothing)
+Test(shared_limit, older_limit_changes_nothing)
 {
     shared_limit limit;
     limit.observe(std::nullopt, start + 1s);
@@ -79,13 +79,13 @@
     cr_expect(limit.has_token(start + 1s));
 }
 
-Test(shared_limit, limit_that_nothing_confirms_is_forgotten)
+Test(shared_limit, unconfirmed_limit_expires)
 {
     shared_limit limit;
     limit.observe(2.0, start);
     cr_expect_not(limit.has_token(start));
     cr_expect(limit.has_token(start + 10min));
-    cr_expect_not(limit.limits(start + 10min));
+    cr_expect_not(limit.is_in_force(start + 10min));
 }
 
 // Guards against a limit of 0 whose end nobody would hear.
--- a/tests/unit/policy/slot_owner_test.cpp
+++ b/tests/unit/policy/slot_owner_test.cpp
@@ -16,7 +16,7 @@
 slot_owner_settings strict_settings()
 {
     slot_owner_settings settings;
-    settings.slots.sent_ahead = 0;
+    settings.slots.max_sent_in_advance = 0;
     return settings;
 }
 
@@ -45,27 +45,27 @@
         return this->owner.reduce(event, this->now);
     }
 
-    std::vector<slot_owner_effect> ask(std::uint32_t flow = 0,
-                                       bool moved = false)
+    std::vector<slot_owner_effect> request_slot(std::uint32_t flow = 0,
+                                                bool moved = false)
     {
         ++this->tickets;
-        slot_asked asked;
-        asked.host = this->host;
-        asked.ticket = this->tickets;
-        asked.flow =
+        slot_requested request;
+        request.host = this->host;
+        request.ticket = this->tickets;
+        request.flow =
             flow == 0 ? 1000 + static_cast<std::uint32_t>(tickets) : flow;
-        asked.time_left = 2s;
-        asked.moved = moved;
-        return this->reduce(asked);
+        request.time_left = 2s;
+        request.moved = moved;
+        return this->reduce(request);
     }
 
     template <class Effect>
-    int ask_many(int count)
+    int request_slots(int count)
     {
         int seen = 0;
         for (int number = 0; number < count; ++number)
         {
-            for (slot_owner_effect const& effect : this->ask())
+            for (slot_owner_effect const& effect : this->request_slot())
             {
                 seen += std::holds_alternative<Effect>(effect) ? 1 : 0;
             }
@@ -76,12 +76,12 @@
 
 } // namespace
 
-Test(slot_owner, asks_beyond_the_slots_wait_for_a_release)
+Test(slot_owner, requests_beyond_the_slots_wait_for_a_release)
 {
     owner_fixture fixture;
     std::uint64_t const first =
-        std::get<slot_granted>(fixture.ask().at(0)).grant;
-    cr_assert_eq(fixture.ask_many<slot_granted>(7), 5);
+        std::get<slot_granted>(fixture.request_slot().at(0)).grant;
+    cr_assert_eq(fixture.request_slots<slot_granted>(7), 5);
     cr_assert_eq(fixture.owner.slots().granted(0), 3);
     std::vector<slot_owner_effect> const effects =
         fixture.reduce(slot_released{0, first, 20ms});
@@ -93,8 +93,8 @@
 {
     owner_fixture fixture;
     std::uint64_t const first =
-        std::get<slot_granted>(fixture.ask().at(0)).grant;
-    fixture.ask_many<slot_granted>(7);
+        std::get<slot_granted>(fixture.request_slot().at(0)).grant;
+    fixture.request_slots<slot_granted>(7);
     fixture.reduce(slot_released{0, first, 20ms});
     cr_assert(fixture.reduce(slot_released{0, first, 20ms}).empty());
     cr_assert_eq(fixture.owner.waiting(), 1);
@@ -102,26 +102,26 @@
 
 // An entry host dies with all slots. Its callers are lost to it anyway, but
 // without an end of the grants nobody would ever get these slots again.
-Test(slot_owner, grants_of_a_silent_host_end_and_go_to_others)
+Test(slot_owner, grants_of_an_unresponsive_host_expire)
 {
     owner_fixture fixture;
-    fixture.ask_many<slot_granted>(6);
+    fixture.request_slots<slot_granted>(6);
     fixture.host = 1;
     fixture.now += 2900ms;
-    cr_assert_eq(fixture.ask_many<slot_granted>(1), 0);
+    cr_assert_eq(fixture.request_slots<slot_granted>(1), 0);
     fixture.now += 100ms;
     // The one that waits and the new one.
-    cr_assert_eq(fixture.ask_many<slot_granted>(1), 2);
+    cr_assert_eq(fixture.request_slots<slot_granted>(1), 2);
 }
 
-Test(slot_owner, grants_of_a_host_that_is_heard_go_on)
+Test(slot_owner, heartbeats_extend_grants)
 {
     owner_fixture fixture;
-    fixture.ask_many<slot_granted>(6);
+    fixture.request_slots<slot_granted>(6);
     for (int second = 0; second < 8; ++second)
     {
         fixture.now += 1s;
-        fixture.reduce(host_heard{0});
+        fixture.reduce(heartbeat_received{0});
     }
     cr_assert_eq(fixture.owner.slots().granted(0), 3);
 }
@@ -129,11 +129,11 @@
 // The owner is frozen for longer than its lease; another host took over and
 // grants the same slots. When it thaws, its first event is an old ask. It
 // must not grant, and a late renewal must not bring it back to life.
-Test(slot_owner, thawed_owner_past_its_lease_grants_nothing)
+Test(slot_owner, owner_past_its_lease_grants_nothing)
 {
     owner_fixture fixture;
     fixture.now += 10s;
-    cr_assert_eq(fixture.ask_many<slot_granted>(1), 0);
+    cr_assert_eq(fixture.request_slots<slot_granted>(1), 0);
     fixture.reduce(ownership_renewed{fixture.now + 10s});
     cr_assert_not(fixture.owner.grants_slots(fixture.now));
 }
@@ -141,12 +141,12 @@
 // Requests wait at an owner that is frozen; when it thaws, they can no longer
 // get a slot here. Kept, they would wait for their deadline; told at once,
 // their hosts ask the new owner while there is time.
-Test(slot_owner, owner_past_its_lease_gives_up_what_waits_at_once)
+Test(slot_owner, owner_past_its_lease_refuses_waiting_requests)
 {
     owner_fixture fixture;
-    fixture.ask_many<slot_granted>(6);
+    fixture.request_slots<slot_granted>(6);
     fixture.now += 9s;
-    fixture.ask_many<slot_granted>(8);
+    fixture.request_slots<slot_granted>(8);
     cr_assert_eq(fixture.owner.waiting(), 2);
     fixture.now += 1s;
     std::vector<slot_owner_effect> const effects =
@@ -154,21 +154,22 @@
     cr_assert_eq(effects.size(), 2);
     cr_assert(std::get<slot_refused>(effects[0]).refusal.reason ==
               refusal_reason::owner_changed);
-    cr_assert(std::get<slot_refused>(fixture.ask().at(0)).refusal.reason ==
-              refusal_reason::owner_changed);
+    cr_assert(
+        std::get<slot_refused>(fixture.request_slot().at(0)).refusal.reason ==
+        refusal_reason::owner_changed);
 }
 
 // A new owner does not know what the former one granted. Without the pause
 // (settle and hosts_to_report zero) it grants all six slots a second time,
 // and every upstream gets twice its slots.
-Test(slot_owner, new_owner_waits_for_what_hosts_hold)
+Test(slot_owner, new_owner_waits_for_grant_reports)
 {
-    owner_fixture careless;
-    cr_assert_eq(careless.ask_many<slot_granted>(6), 6);
+    owner_fixture without_settling;
+    cr_assert_eq(without_settling.request_slots<slot_granted>(6), 6);
 
     owner_fixture fixture;
     fixture.reduce(ownership_started{2, fixture.now + 10s, 3s, 2});
-    cr_assert_eq(fixture.ask_many<slot_granted>(6), 0);
+    cr_assert_eq(fixture.request_slots<slot_granted>(6), 0);
     slot_grant held;
     held.id = 77;
     held.host = 1;
@@ -184,10 +185,11 @@
 // A host was owner, lost the lease, and gets it back while a grant of its
 // first epoch still runs. It knows the grant and hears of it again; counted
 // twice, the slot would stay lost until the second count expires.
-Test(slot_owner, grant_that_is_reported_back_counts_once)
+Test(slot_owner, grant_reported_back_counts_once)
 {
     owner_fixture fixture;
-    slot_granted const granted = std::get<slot_granted>(fixture.ask().at(0));
+    slot_granted const granted =
+        std::get<slot_granted>(fixture.request_slot().at(0));
     fixture.reduce(ownership_started{3, fixture.now + 10s, 3s, 1});
     slot_grant held;
     held.id = granted.grant;
@@ -203,55 +205,57 @@
 Test(slot_owner, grants_of_two_epochs_have_different_numbers)
 {
     owner_fixture fixture;
-    slot_granted const first = std::get<slot_granted>(fixture.ask().at(0));
+    slot_granted const first =
+        std::get<slot_granted>(fixture.request_slot().at(0));
     owner_fixture next;
     next.reduce(ownership_started{2, next.now + 10s, {}, 0});
-    slot_granted const second = std::get<slot_granted>(next.ask().at(0));
+    slot_granted const second =
+        std::get<slot_granted>(next.request_slot().at(0));
     cr_assert_neq(first.grant, second.grant);
 }
 
-Test(slot_owner, new_owner_without_reports_waits_out_the_old_grants)
+Test(slot_owner, new_owner_without_reports_waits_until_old_grants_expire)
 {
     owner_fixture fixture;
     fixture.reduce(ownership_started{2, fixture.now + 10s, 1s, 2});
-    fixture.ask_many<slot_granted>(1);
+    fixture.request_slots<slot_granted>(1);
     fixture.now += 999ms;
     cr_assert(fixture.reduce(time_passed{}).empty());
     fixture.now += 1ms;
     cr_assert_eq(fixture.reduce(time_passed{}).size(), 1);
 }
 
-Test(slot_owner, request_moves_to_a_near_zone_with_room)
+Test(slot_owner, request_moves_to_a_nearby_zone_with_free_capacity)
 {
     for (bool const moves : {false, true})
     {
         slot_owner_settings settings = strict_settings();
-        settings.moves = moves;
+        settings.allow_moves = moves;
         owner_fixture fixture(settings);
-        fixture.ask_many<slot_granted>(8);
+        fixture.request_slots<slot_granted>(8);
         std::vector<slot_owner_effect> const moved =
             fixture.reduce(zone_load_reported{0, 6, {}});
         cr_assert_eq(moved.size(), moves ? 1 : 0);
         fixture.now += 1s;
         // The report is a second old now: it moves nothing.
-        cr_assert_eq(fixture.ask_many<request_moved>(1), 0);
+        cr_assert_eq(fixture.request_slots<request_moved>(1), 0);
     }
 }
 
 // Two zones that each think the other idle would pass a request back and
 // forth until its deadline.
-Test(slot_owner, moved_request_stays)
+Test(slot_owner, moved_request_does_not_move_again)
 {
     owner_fixture fixture;
-    fixture.ask_many<slot_granted>(12);
+    fixture.request_slots<slot_granted>(12);
     fixture.reduce(zone_load_reported{0, 6, {}});
-    cr_assert(fixture.ask(0, true).empty());
+    cr_assert(fixture.request_slot(0, true).empty());
 }
 
-Test(slot_owner, distant_zone_without_room_takes_nothing)
+Test(slot_owner, distant_zone_without_free_capacity_gets_nothing)
 {
     owner_fixture fixture;
-    fixture.ask_many<slot_granted>(60);
+    fixture.request_slots<slot_granted>(60);
     cr_assert(fixture.reduce(zone_load_reported{1, 6, 50ms}).empty());
     cr_assert_not(fixture.reduce(zone_load_reported{1, 6, {}}).empty());
 }
@@ -270,7 +274,7 @@
         {
             fixture.now += 5ms;
             slot_granted const granted =
-                std::get<slot_granted>(fixture.ask().at(0));
+                std::get<slot_granted>(fixture.request_slot().at(0));
             bool const slow = granted.upstream == 0;
             slow_grants += slow && round >= 200 ? 1 : 0;
             fixture.reduce(
@@ -289,7 +293,7 @@
     {
         fixture.now += 5ms;
         slot_granted const granted =
-            std::get<slot_granted>(fixture.ask().at(0));
+            std::get<slot_granted>(fixture.request_slot().at(0));
         fixture.reduce(slot_released{0, granted.grant, 200ms});
     }
     cr_assert_geq(fixture.owner.slots().pool().usable, 3);
@@ -303,7 +307,7 @@
     {
         first.now += 3ms;
         second.now += 3ms;
-        cr_assert_eq(first.ask().size(), second.ask().size());
+        cr_assert_eq(first.request_slot().size(), second.request_slot().size());
     }
     cr_assert_eq(first.owner.waiting(), second.owner.waiting());
 }
--- a/tests/unit/policy/upstream_placement_test.cpp
+++ b/tests/unit/policy/upstream_placement_test.cpp
@@ -2,7 +2,7 @@
 
 #include "bilberrylead/policy/generator.hpp"
 #include "bilberrylead/policy/object_memory.hpp"
-#include "bilberrylead/policy/rate_limit.hpp"
+#include "bilberrylead/policy/token_bucket.hpp"
 #include "bilberrylead/policy/upstream_estimate.hpp"
 
 #include <criterion/criterion.h>
@@ -230,18 +230,18 @@
 
 // Eleven entry hosts, one cold upstream: in any second they send no more
 // than their shares add up to.
-Test(rate_limit, hosts_together_keep_the_bound_of_a_cold_upstream)
+Test(token_bucket, hosts_together_keep_the_bound_of_a_cold_upstream)
 {
     constexpr double share = 0.5;
-    std::vector<policy::rate_limit> hosts(11);
+    std::vector<policy::token_bucket> hosts(11);
     std::vector<instant> sent;
     for (duration passed{}; passed < 5s; passed += 10ms)
     {
-        for (policy::rate_limit& host : hosts)
+        for (policy::token_bucket& host : hosts)
         {
             if (host.has_token(share, start + passed))
             {
-                host.take(share, start + passed);
+                host.consume(share, start + passed);
                 sent.push_back(start + passed);
             }
         }
