--- a/bilberrylead/policy/admission_queue.cpp
+++ b/bilberrylead/policy/admission_queue.cpp
@@ -11,7 +11,8 @@
 
 using config::work_length;
 
-/// Time until `turns` requests that hold a slot for `held` have started.
+/// Wait of a request behind `requests` others that each hold one of `slots`
+/// slots for `hold_time`.
 duration wait_behind(std::size_t requests, duration hold_time,
                      std::uint32_t slots)
 {
@@ -20,10 +21,10 @@
                     slots);
 }
 
-/// Time between two slots of the pool that come free for brief work.
+/// Mean time between two slots of the pool that come free for brief work.
 duration slot_interval(slot_pool const& pool)
 {
-    // Slots that long work holds do not turn over in time to count.
+    // Long work holds its slots too long for them to count here.
     std::uint32_t const turning =
         pool.usable - std::min(pool.usable, pool.long_held);
     return pool.brief_time / std::max(1U, turning);
@@ -63,10 +64,10 @@
     duration const expected = this->expected_wait(request.flow, pool, now);
     if (this->settings.bounded)
     {
-        // The wait that the deadline leaves, and the wait that is any good.
+        // The wait is bounded by the deadline and by the maximum wait.
         duration const time_left = request.deadline - now - pool.brief_reserve;
-        // A moved request was let in where it came from; refusing it now
-        // would tell its caller late.
+        // A moved request was admitted in the zone it came from. Refusing it
+        // here would inform its caller late, so only its deadline counts.
         duration const allowed_wait =
             request.moved ? time_left
                           : std::min(time_left, this->max_wait(now));
@@ -76,8 +77,8 @@
                                  expected - allowed_wait);
         }
 
-        // A flow's share of the bound. Without it a heavy caller's backlog
-        // fills the bound, and others are refused for its sake.
+        // Each flow may use a share of the bound. Without it the backlog of
+        // one heavy caller fills the bound and other callers are refused.
         std::uint32_t const sharers = this->brief.flows_waiting() + 1;
         std::int64_t const bound =
             allowed_wait.count() * pool.usable / pool.brief_time.count();
@@ -131,8 +132,8 @@
     waiting_request const* const long_next =
         this->may_start(work_length::extended, pool) ? this->extended.peek()
                                                      : nullptr;
-    // Of the two heads the older one: long work below its limit is neither
-    // put off by a stream of look-ups nor put before them.
+    // The older of the two heads is next: long work below its limit is
+    // neither starved by a stream of look-ups nor served before them.
     return long_next != nullptr &&
            (brief_next == nullptr || long_next->arrived < brief_next->arrived);
 }
@@ -206,7 +207,6 @@
 
 duration admission_queue::max_wait(instant now) const
 {
-    // last_empty is unset only until the first event.
     bool const standing =
         this->last_empty.has_value() &&
         now - *this->last_empty > this->settings.standing_after;
--- a/bilberrylead/policy/admission_queue.hpp
+++ b/bilberrylead/policy/admission_queue.hpp
@@ -14,70 +14,75 @@
 namespace bilberrylead::policy
 {
 
-/// The bounded wait in front of the slots.
+/// Bounded queue of the requests that wait for a slot.
 ///
-/// Load it answers: bursts and saturation. Without a bound the queue grows
+/// Protects against bursts and saturation. Without a bound the queue grows
 /// as long as the overload lasts, every answer comes after its deadline, and
-/// the slots are busy with work that nobody waits for any more. The bound is
-/// a time, not a length: a request waits only if its expected wait plus the
-/// time that nearly every request takes still ends before its deadline.
-/// Everything else is refused at once with the time after which the queue
-/// will have room, so that its caller can go elsewhere while there is time.
-/// All memory is taken at construction.
+/// the slots are busy with work whose callers have stopped waiting. The bound
+/// is a time, not a length: a request waits only if its expected wait plus
+/// the time within which nearly every request completes ends before its
+/// deadline. Any other request is refused at once with the time after which
+/// the queue will have free capacity, so that its caller can go elsewhere in
+/// time. All memory is allocated at construction.
 class admission_queue
 {
 public:
-    /// Makes an empty queue.
+    /// Creates an empty queue.
     explicit admission_queue(admission_queue_settings const& settings = {});
 
-    /// Decides what becomes of a request; after `wait` it waits here.
+    /// Admits, queues or refuses a request. It is in the queue only if the
+    /// verdict is `wait`.
     admission_verdict offer(waiting_request const& request,
                             slot_pool const& pool, instant now);
 
-    /// The request that a free slot goes to, or nullptr if none may have it.
+    /// The request that gets the next free slot, or nullptr if no request
+    /// may have it.
     waiting_request const* peek(slot_pool const& pool) const;
 
-    /// Takes out the request that peek names. Call again until it gives
-    /// nothing.
+    /// Removes and returns the request that peek returns. Call it until it
+    /// returns nothing.
     std::optional<waiting_request> pop(slot_pool const& pool, instant now);
 
-    /// Takes out a request that can no longer make its deadline; its caller
-    /// hears "not run" now. Call after every event until it gives nothing.
+    /// Removes and returns a request that can no longer meet its deadline;
+    /// its caller is to be told "not run" now. Call it after every event
+    /// until it returns nothing.
     std::optional<waiting_request> pop_expired(slot_pool const& pool,
                                                instant now);
 
-    /// Takes out any request, for an owner that cannot serve them any more.
+    /// Removes and returns any request, for an owner that can no longer
+    /// serve them.
     std::optional<waiting_request> pop_any();
 
-    /// The caller went away; false if the request does not wait here.
+    /// Removes a request whose caller disconnected; false if it is not in the
+    /// queue.
     bool cancel(std::uint64_t ticket);
 
-    /// Takes out the brief request that gains most from running elsewhere:
-    /// the last one that may move.
+    /// Removes and returns the brief request that gains most from running in
+    /// another zone: the last one that may move.
     std::optional<waiting_request> pop_last_movable()
     {
         return this->brief.pop_last_movable();
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     std::size_t size() const
     {
         return this->brief.size() + this->extended.size();
     }
 
-    /// Brief requests that wait of the flow's row.
+    /// Number of waiting brief requests in the flow's bucket.
     std::uint32_t brief_waiting_of(std::uint32_t flow) const
     {
         return this->brief.size_of(flow);
     }
 
-    /// Brief requests that wait.
+    /// Number of waiting brief requests.
     std::size_t brief_waiting() const
     {
         return this->brief.size();
     }
 
-    /// Expected wait of a brief request of the flow that came in now.
+    /// Expected wait of a brief request of the flow that arrives now.
     duration expected_wait(std::uint32_t flow, slot_pool const& pool,
                            instant now) const;
 
@@ -96,7 +101,8 @@
     long_work_limit limit;
     fair_queue brief;
     fair_queue extended;
-    /// When the queue of brief requests was last seen empty.
+    /// When the queue of brief requests was last seen empty; unset until the
+    /// first event.
     std::optional<instant> last_empty;
 };
 
--- a/bilberrylead/policy/admission_queue_settings.hpp
+++ b/bilberrylead/policy/admission_queue_settings.hpp
@@ -14,31 +14,33 @@
 /// Settings of admission_queue.
 struct admission_queue_settings
 {
-    /// Longest expected wait while the queue was empty a moment ago: a
-    /// burst. Half a second: longer, and the singer looks at a blank screen.
+    /// Maximum expected wait during a burst, that is while the queue was
+    /// empty within `standing_after`. With more than half a second the singer
+    /// sees a blank screen.
     duration max_burst_wait = std::chrono::milliseconds(500);
-    /// Longest expected wait once the queue has stood for `standing_after`:
-    /// saturation. A standing queue serves not one request more, it only
-    /// makes each of them later; a few service times keep slots busy.
+    /// Maximum expected wait under saturation, that is once the queue has not
+    /// been empty for `standing_after`. A standing queue does not raise the
+    /// throughput and only delays each request; a wait of a few service times
+    /// keeps the slots busy. At most `max_burst_wait`.
     duration max_standing_wait = std::chrono::milliseconds(200);
-    /// How long a queue must never have been empty to be a standing one;
-    /// over 0. Longer than what one burst leaves behind.
+    /// Time without an empty queue after which it counts as standing; over 0.
+    /// It must be longer than the backlog of one burst lasts.
     duration standing_after = std::chrono::seconds(2);
-    /// Longest expected wait of long work: it is in no hurry, but its
-    /// caller should hear within seconds that it is not run.
+    /// Maximum expected wait of long work. Long work is not urgent, but its
+    /// caller should be told within seconds that it is not run.
     duration max_long_wait = std::chrono::seconds(10);
-    /// A flow may hold half of bound / (flows waiting + 1), but this many
-    /// requests always. Half: the other half of the slots' turns goes to
-    /// flows that come later and wait less, and a backlog that ignores them
-    /// is given up late instead of refused at once.
+    /// Number of waiting requests that a flow may always have. Above it, a
+    /// flow may have half of bound / (flows waiting + 1). The other half of
+    /// the slots goes to flows that arrive later and wait less; a backlog
+    /// that ignores them would expire late instead of being refused at once.
     std::uint32_t min_share = 3;
-    /// Shortest time after which a refused caller is told to come back.
+    /// Minimum retry time that a refused caller is given.
     duration min_retry_after = std::chrono::milliseconds(100);
-    /// Order among those that wait.
+    /// Order of the waiting requests.
     fair_queue_settings queue;
-    /// What long work may hold.
+    /// Number of slots that long work may hold.
     long_work_limit_settings long_work;
-    /// False lets everything wait for ever (for comparison).
+    /// False lets every request wait without a bound (for comparison).
     bool bounded = true;
 };
 
--- a/bilberrylead/policy/admission_verdict.hpp
+++ b/bilberrylead/policy/admission_verdict.hpp
@@ -12,45 +12,45 @@
 /// Why a request is not run.
 enum class refusal_reason : std::uint8_t
 {
-    /// It would wait beyond its deadline, or beyond the longest wait.
+    /// It would wait beyond its deadline or beyond the maximum wait.
     wait_too_long,
-    /// Its caller has its share of the queue already.
+    /// Its caller already uses its share of the queue.
     caller_over_share,
     /// The queue is full.
     queue_full,
-    /// No upstream takes work.
+    /// No upstream accepts work.
     no_upstream,
-    /// It waited, and can no longer make its deadline.
+    /// It waited and can no longer meet its deadline.
     deadline_passed,
-    /// The host that was asked does not own the slots any more; ask the one
-    /// that does.
+    /// The receiving host no longer owns the slots; send the request to the
+    /// current owner.
     owner_changed,
     /// Its region's headroom is used up.
     no_headroom,
 };
 
-/// Run it now: a slot is free and nobody waits for it.
+/// The request runs now: a slot is free and no other request waits for it.
 struct admit
 {
 };
 
-/// It waits; take it with admission_queue::next when a slot comes free.
+/// The request waits; admission_queue::pop returns it when a slot comes free.
 struct wait
 {
     /// Expected time until it gets a slot.
     duration expected{};
 };
 
-/// It is not run. Tell its caller so at once.
+/// The request is not run. Inform its caller at once.
 struct refuse
 {
-    /// Why.
+    /// Why it is not run.
     refusal_reason reason = refusal_reason::wait_too_long;
-    /// After what time the caller does well to come back.
+    /// Time after which a retry by the caller is worthwhile.
     duration retry_after{};
 };
 
-/// What becomes of a request.
+/// Decision about a request.
 using admission_verdict = std::variant<admit, wait, refuse>;
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/bulk_pacer.hpp
+++ b/bilberrylead/policy/bulk_pacer.hpp
@@ -10,36 +10,37 @@
 namespace bilberrylead::policy
 {
 
-/// When the next piece of a long answer may be passed on, so that short
-/// answers find the host's link free.
+/// Paces the pieces of long answers so that short answers find the host's
+/// link free.
 ///
-/// Load it answers: an entry host on a link of a few Mbit/s that carries
-/// downloads and look-ups. A download of 90 KB takes 120 ms there at
-/// 6 Mbit/s; passed on as fast as its upstream sends it, every packet of the
-/// host waits behind it, and look-ups of 230 ms were answered after 400 ms.
-/// All bodies count against a share of the link, but only what an answer has
-/// beyond its beginning waits, so the queue in front of the link stays as
-/// short as a piece or two and short answers pass long ones. Fixed memory,
-/// no allocation.
+/// Protects look-ups on an entry host whose link of a few Mbit/s also carries
+/// downloads. A download of 90 KB takes 120 ms at 6 Mbit/s. Forwarded as fast
+/// as its upstream sends it, it delays every packet of the host, and look-ups
+/// that take 230 ms were answered after 400 ms. All bodies count against a
+/// share of the link, but only the part of an answer beyond its first
+/// `unpaced_bytes` waits. The queue of the link thus holds only a piece or
+/// two, and short answers overtake long ones. Fixed memory, no allocation.
 class bulk_pacer
 {
 public:
-    /// Paces for a link of that many bytes a second; 0 or less: no pace.
+    /// Creates a pacer for a link of that many bytes a second; 0 or less
+    /// disables pacing.
     explicit bulk_pacer(double link_bytes_per_second)
         : bytes_per_second(link_bytes_per_second * body_share)
     {
     }
 
-    /// Notes that an answer's next `count` bytes are passed on, and tells how
-    /// long they have to wait; `passed` bytes of that answer went before.
+    /// Reserves the link for the next `count` bytes of an answer of which
+    /// `already_sent` bytes were forwarded before. Returns how long these bytes
+    /// have to wait.
     duration reserve(std::size_t already_sent, std::size_t count, instant now)
     {
         if (this->bytes_per_second <= 0)
         {
             return duration::zero();
         }
-        // What is owed beyond the longest wait was passed on already, so it
-        // must not hold up answers that come later.
+        // Bytes due beyond the maximum wait are forwarded earlier than the pace
+        // allows, so they must not delay later answers.
         instant const send_at =
             std::min<instant>(std::max(now, this->free_at), now + max_wait);
         std::chrono::duration<double> const send_time(
@@ -50,13 +51,13 @@
     }
 
 private:
-    /// Share of the link that bodies may fill: the rest is for heads,
+    /// Share of the link that bodies may use. The rest is for headers,
     /// heartbeats and new connections, and lets the queue drain.
     static constexpr double body_share = 0.85;
-    /// Bytes of an answer that never wait. Most look-ups are shorter.
+    /// First bytes of an answer, which never wait. Most look-ups are shorter.
     static constexpr std::size_t unpaced_bytes = std::size_t{16} << 10U;
-    /// A piece that waited so long goes, whatever else is under way: a
-    /// download is slow then, but not taken for dead.
+    /// Maximum wait of a piece, whatever else is in flight. It keeps a slow
+    /// download from being taken for a broken connection.
     static constexpr std::chrono::milliseconds max_wait{250};
 
     double bytes_per_second;
--- a/bilberrylead/policy/crash_history.cpp
+++ b/bilberrylead/policy/crash_history.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// How often old records are looked for.
+/// Interval between searches for expired records.
 constexpr duration expiry_interval = std::chrono::seconds(1);
 
 } // namespace
@@ -56,8 +56,8 @@
         });
 }
 
-/// A host that is full takes only records that count for more than what they
-/// evict: hosts would else hand evicted records round for ever.
+/// A full history accepts only a record with more crashes than the one that
+/// it evicts. Otherwise hosts would exchange evicted records for ever.
 bool crash_history::accepts(crash_record const& received) const
 {
     if (this->entries.contains(received.digest))
@@ -150,7 +150,7 @@
             merged.ended_upstreams.insert(received.ended_upstreams.begin(),
                                           received.ended_upstreams.end());
         }
-        // The same ones are kept on every host, so that records converge.
+        // Every host keeps the same upstreams, so that the records converge.
         while (merged.ended_upstreams.size() > this->settings.crashes_to_refuse)
         {
             merged.ended_upstreams.erase(
--- a/bilberrylead/policy/crash_history.hpp
+++ b/bilberrylead/policy/crash_history.hpp
@@ -17,59 +17,59 @@
 namespace bilberrylead::policy
 {
 
-/// Requests that ran on upstreams when these ended, known to all hosts by
-/// exchanged records.
+/// Requests that were running on upstreams when these ended. Hosts share the
+/// history by exchanging records.
 ///
-/// Load it answers: a request that crashes each upstream that runs it. It is
-/// tried again on other upstreams, and its caller repeats it at other entry
-/// hosts; without a memory over attempts and hosts it ends one upstream
-/// after the other, with everything that ran beside it. Most of the requests
-/// that run on an upstream when it ends are innocent, so that one crash
-/// restricts nothing, and a whole answer clears a request.
+/// Protects against a request that crashes every upstream that runs it. It is
+/// retried on other upstreams, and its caller repeats it at other entry hosts.
+/// Without a history over attempts and hosts it ends one upstream after the
+/// other, with all concurrent requests. Most of the requests that run on an
+/// upstream when it ends are not the cause. A single crash therefore restricts
+/// no request, and a complete answer clears a request.
 class crash_history
 {
 public:
-    /// Makes an empty history.
+    /// Creates an empty history.
     explicit crash_history(crash_history_settings const& settings = {});
 
     /// Whether the request may run.
     crash_verdict verdict_of(std::uint64_t digest) const;
 
-    /// The upstream ended while it ran the request. Returns the record if it
-    /// changed.
+    /// Records that the upstream ended while it ran the request. Returns the
+    /// record if it changed.
     std::optional<crash_record> record_crash(std::uint64_t digest,
                                              upstream_id const& upstream,
                                              instant now);
 
-    /// The request got a whole answer, or an operator lets it run again.
-    /// Returns the record if upstreams had ended under it.
+    /// Clears the request, after a complete answer or by order of an operator.
+    /// Returns the record if upstreams had ended while they ran it.
     std::optional<crash_record> clear(std::uint64_t digest, instant now);
 
-    /// The request came again and was refused.
+    /// Records that the request was repeated and refused.
     void record_repeat(std::uint64_t digest, instant now);
 
-    /// Takes another host's records.
+    /// Merges the records of another host.
     crash_merge merge(std::vector<crash_record> const& records, instant now);
 
-    /// Forgets what is too old.
+    /// Removes expired records.
     void expire(instant now);
 
-    /// All records, for a host that is linked.
+    /// All records, for a newly connected host.
     std::vector<crash_record> records() const;
 
     /// Whether a request with that record may run.
     crash_verdict verdict_of(crash_record const& record) const;
 
-    /// Requests that are refused now.
+    /// Number of requests that are refused now.
     std::size_t refused_count() const;
 
-    /// Records held.
+    /// Number of records held.
     std::size_t size() const
     {
         return this->entries.size();
     }
 
-    /// Records that were evicted, since there were too many.
+    /// Total number of records evicted because the history was full.
     std::uint64_t evicted_count() const
     {
         return this->evictions;
--- a/bilberrylead/policy/crash_history_settings.hpp
+++ b/bilberrylead/policy/crash_history_settings.hpp
@@ -12,18 +12,20 @@
 /// Settings of crash_history.
 struct crash_history_settings
 {
-    /// Upstreams that ended under a request from which on it runs once at a
-    /// time, without further tries.
+    /// Number of upstreams that ended while running a request from which on it
+    /// is restricted: it runs once at a time and without retries.
     std::size_t crashes_to_restrict = 2;
-    /// Upstreams that ended under a request from which on it is refused.
+    /// Number of upstreams that ended while running a request from which on it
+    /// is refused.
     std::size_t crashes_to_refuse = 3;
-    /// Records of requests that are not refused, and of cleared ones, are
-    /// kept for so long after their last change.
+    /// Time after their last change for which records of requests that are not
+    /// refused, including cleared ones, are kept.
     duration suspect_retention = std::chrono::minutes(2);
-    /// A refused request is forgotten so long after it came last.
+    /// Time after its last arrival for which the record of a refused request is
+    /// kept.
     duration refused_retention = std::chrono::minutes(30);
-    /// Records held; one more evicts the one with the fewest crashes, the
-    /// oldest of these.
+    /// Maximum number of records; over 0. A further one evicts the record with
+    /// the fewest crashes, and the oldest among these.
     std::size_t max_records = 1024;
 };
 
--- a/bilberrylead/policy/crash_merge.hpp
+++ b/bilberrylead/policy/crash_merge.hpp
@@ -8,12 +8,13 @@
 namespace bilberrylead::policy
 {
 
-/// What came of merging another host's records.
+/// Result of merging another host's records.
 struct crash_merge
 {
-    /// Records that changed here: for everyone but their sender.
+    /// Records that changed here, to be sent to every host but their sender.
     std::vector<crash_record> changed;
-    /// Records of which the sender knows less: for the sender.
+    /// Records that are more complete here than at the sender, to be sent back
+    /// to it.
     std::vector<crash_record> missing_at_sender;
 };
 
--- a/bilberrylead/policy/crash_record.hpp
+++ b/bilberrylead/policy/crash_record.hpp
@@ -9,16 +9,16 @@
 namespace bilberrylead::policy
 {
 
-/// Which upstreams ended while they ran one request. Hosts exchange these
-/// and merge them: a higher generation replaces a lower one, equal ones are
-/// united.
+/// The upstreams that ended while they ran one request. Hosts exchange and
+/// merge these records: a higher generation replaces a lower one, and records
+/// of the same generation are united.
 struct crash_record
 {
     /// Digest of the request; never 0.
     std::uint64_t digest = 0;
-    /// Grows by one each time a whole answer clears the request.
+    /// Incremented each time the request is cleared.
     std::uint64_t generation = 0;
-    /// Incarnations that ended since then.
+    /// Incarnations of upstreams that ended since it was last cleared.
     std::set<upstream_id> ended_upstreams;
 
     friend bool operator==(crash_record const&, crash_record const&) = default;
--- a/bilberrylead/policy/crash_verdict.hpp
+++ b/bilberrylead/policy/crash_verdict.hpp
@@ -6,19 +6,18 @@
 namespace bilberrylead::policy
 {
 
-/// What crash_history says about running a request.
+/// crash_history's decision whether a request may run.
 enum class crash_verdict
 {
     /// It may run like any other.
     unrestricted,
-    /// It may run once at a time, and is not tried again once it may have
-    /// run.
+    /// It may run once at a time and is not retried once it may have run.
     restricted,
     /// It must not run.
     refused,
 };
 
-/// The verdict's name as logs and operators see it.
+/// The verdict's name in logs and operator replies.
 std::string_view to_string(crash_verdict verdict);
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/fair_queue.cpp
+++ b/bilberrylead/policy/fair_queue.cpp
@@ -36,8 +36,8 @@
 instant fair_queue::next_start_tag(std::uint32_t flow, instant now,
                                    duration slot_interval) const
 {
-    // A flow that was away does not save up turns, or it could hold up
-    // everybody when it comes back.
+    // An idle flow earns no credit. Otherwise it could delay all other flows
+    // when it becomes active again.
     bucket const& own = this->bucket_of(flow);
     if (!this->by_flow || own.waiting == 0)
     {
--- a/bilberrylead/policy/fair_queue.hpp
+++ b/bilberrylead/policy/fair_queue.hpp
@@ -12,65 +12,67 @@
 namespace bilberrylead::policy
 {
 
-/// Waiting requests, callers served in turn.
+/// Fair queue: waiting requests, with the callers served in round robin.
 ///
-/// Load it answers: a few callers that send most of the requests. In first
-/// come, first served order their backlog is everybody's wait: one payroll
-/// bureau's batch and every other caller's look-up takes as long as the
-/// batch. Here a request's turn is the time it came, but at least one round
-/// (a turn for each flow that waits) after the turn before it of the same
-/// flow. So a caller with one request is served in order of arrival, and a
-/// caller with many gets one in each round. Turns are times and not counts:
-/// with counts, requests of new callers would come before a second request
-/// of a known one for ever, and it would starve (seen as a p99.9 of twice
-/// the first come, first served order's).
+/// Protects against a few callers that send most of the requests. In first
+/// come, first served order their backlog delays everybody: after a batch of
+/// one payroll bureau, the look-up of every other caller takes as long as the
+/// batch. Here a request is served in the order of its start tag. The tag is
+/// the arrival time, but at least one round (one slot for each waiting flow)
+/// after the tag of the previous request of the same flow. A caller with one
+/// request is thus served in order of arrival, and a caller with many gets
+/// one slot in each round. Start tags are times, not counts: with counts the
+/// requests of new callers would always precede the second request of an
+/// earlier caller, and it would starve (its p99.9 was twice that of first
+/// come, first served).
 ///
-/// Flows are caller hashes in a fixed table: memory does not grow with
-/// callers, and two callers who share a row share one turn. All memory is
-/// taken at construction.
+/// A flow is the hash of a caller, in a table of fixed size: memory does not
+/// grow with the number of callers, and callers in the same bucket share one
+/// turn in each round. All memory is allocated at construction.
 class fair_queue
 {
 public:
-    /// Makes an empty queue.
+    /// Creates an empty queue.
     explicit fair_queue(fair_queue_settings const& settings = {});
 
-    /// Adds a request; false, and nothing changes, if the queue is full.
-    /// `turn_time` is the time between two slots that come free.
+    /// Adds a request. Returns false and changes nothing if the queue is full.
+    /// `slot_interval` is the time between two slots that come free.
     bool push(waiting_request const& request, duration slot_interval);
 
-    /// The request whose turn is next, or nullptr.
+    /// The request that is served next, or nullptr.
     waiting_request const* peek() const;
 
-    /// Takes out the request whose turn is next.
+    /// Removes and returns the request that is served next.
     std::optional<waiting_request> pop();
 
-    /// Takes out one request; false if it does not wait here.
+    /// Removes one request; false if it is not in the queue.
     bool remove(std::uint64_t ticket);
 
-    /// Takes out one request whose deadline is before `limit`, if any.
+    /// Removes and returns one request whose deadline is before `limit`, if
+    /// any.
     std::optional<waiting_request> pop_expired(instant limit);
 
-    /// Takes out the request whose turn is last among those that may move,
-    /// if any.
+    /// Removes and returns the request that would be served last among those
+    /// that may move, if any.
     std::optional<waiting_request> pop_last_movable();
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     std::size_t size() const
     {
         return this->heap.size();
     }
 
-    /// Requests that wait of the flow's row.
+    /// Number of waiting requests in the flow's bucket.
     std::uint32_t size_of(std::uint32_t flow) const;
 
-    /// Rows that have a request waiting.
+    /// Number of buckets with a waiting request.
     std::uint32_t flows_waiting() const
     {
         return this->busy_buckets;
     }
 
-    /// How many of those that wait would be served before a new request of
-    /// the flow.
+    /// Number of waiting requests that would be served before a new request
+    /// of the flow.
     std::size_t count_ahead_of(std::uint32_t flow, instant now,
                                duration slot_interval) const;
 
--- a/bilberrylead/policy/limit_report.hpp
+++ b/bilberrylead/policy/limit_report.hpp
@@ -10,17 +10,18 @@
 namespace bilberrylead::policy
 {
 
-/// What one entry host knows and did about an upstream's limit.
+/// One entry host's report about the limit of an upstream.
 struct limit_report
 {
     /// The upstream.
     upstream_id upstream;
-    /// Requests a second that it takes from all entry hosts; nothing: it
-    /// names no limit any more.
+    /// Requests a second that it accepts from all entry hosts together;
+    /// nothing if it no longer sets a limit.
     std::optional<double> per_second;
-    /// Time since an answer of the upstream said so.
+    /// Time since the answer of the upstream that reported this.
     duration age{};
-    /// Requests that the host has sent it since it knows of the limit.
+    /// Total number of requests that the host has sent to the upstream since
+    /// it received the limit.
     std::uint64_t sent = 0;
 };
 
--- a/bilberrylead/policy/retry_budget.cpp
+++ b/bilberrylead/policy/retry_budget.cpp
@@ -18,8 +18,8 @@
                             generator& random)
 {
     assert(request.attempts >= 1);
-    // A request that may not be repeated runs again only if nothing of it
-    // ran: anything else could post a royalty twice.
+    // A request that is not idempotent runs again only if no part of it ran;
+    // otherwise a royalty could be posted twice.
     if (!request.idempotent && !request.certainly_not_run)
     {
         return std::nullopt;
@@ -29,8 +29,8 @@
         return std::nullopt;
     }
 
-    // Full jitter: the requests that one dead upstream failed together do
-    // not come back together.
+    // Full jitter: requests that failed together on one crashed upstream are
+    // not retried together.
     duration const max_backoff =
         this->settings.initial_backoff * (std::int64_t{1} << request.attempts);
     duration const backoff(static_cast<std::int64_t>(
--- a/bilberrylead/policy/retry_budget_settings.hpp
+++ b/bilberrylead/policy/retry_budget_settings.hpp
@@ -11,17 +11,19 @@
 /// Settings of retry_budget.
 struct retry_budget_settings
 {
-    /// Retries earned by one success, 0 to 1. A tenth: when everything
-    /// fails, the load on what is left grows by a tenth at most.
+    /// Retries earned by one success, 0 to 1. With a tenth, the load on the
+    /// remaining upstreams grows by a tenth at most when all requests fail.
     double earned_per_success = 0.1;
-    /// Most retries saved up. Enough for the requests in flight to one
-    /// upstream that died (three slots, some waiting), not for a region.
+    /// Maximum number of saved retries. Enough for the requests in flight to
+    /// one crashed upstream (three slots, some waiting), not for a region.
     double max_saved = 10;
-    /// Retries saved at the start, so that a quiet service can retry too.
+    /// Retries saved at the start, so that a service with few requests can
+    /// retry too.
     double initial_saved = 3;
-    /// Runs of one request in all, the first included; at least 1.
+    /// Maximum number of runs of one request, including the first; at least 1.
     unsigned max_attempts = 3;
-    /// Pause before the first retry; doubles with each further one.
+    /// Base of the backoff: the maximum backoff before retry n is this times
+    /// 2^n.
     duration initial_backoff = std::chrono::milliseconds(5);
 };
 
--- a/bilberrylead/policy/retry_time.hpp
+++ b/bilberrylead/policy/retry_time.hpp
@@ -9,9 +9,9 @@
 class generator;
 struct placement_settings;
 
-/// When a caller that is refused is told to come back, if room is expected
-/// in `until_room`: each draws its own time, so that they do not come back
-/// together.
+/// The retry time for a refused caller when free capacity is expected after
+/// `until_free_capacity`. It is random for each caller, so that callers do not
+/// retry together.
 duration retry_time(duration until_free_capacity,
                     placement_settings const& settings, generator& random);
 
--- a/bilberrylead/policy/shared_limit.cpp
+++ b/bilberrylead/policy/shared_limit.cpp
@@ -24,7 +24,7 @@
     return std::min(this->settings.max_saved, this->fill_rate());
 }
 
-/// Tokens that must be there before this host sends a request.
+/// Number of tokens from which on this host sends a request.
 double shared_limit::required_tokens() const
 {
     return 1 + this->max_saved() * this->reserve_fraction;
@@ -53,7 +53,7 @@
     bool const changed = this->rate != per_second;
     if (changed && !is_new)
     {
-        // What was saved so far was saved by the old limit.
+        // The tokens saved so far are computed with the old limit.
         this->tokens = this->level(seen);
         this->updated_at = seen;
     }
@@ -91,8 +91,8 @@
 {
     auto const [entry, is_first] = this->sent_by.try_emplace(host, sent);
     std::uint64_t const previous = std::exchange(entry->second, sent);
-    // Of a host that is heard for the first time, or has started anew, what
-    // it sent before is not known.
+    // For a host that reports for the first time or has restarted, the number
+    // of requests since its last report is unknown, and one is assumed.
     std::uint64_t const spent =
         is_first || sent < previous ? 1 : sent - previous;
     if (spent > 0 && this->is_in_force(now))
--- a/bilberrylead/policy/shared_limit.hpp
+++ b/bilberrylead/policy/shared_limit.hpp
@@ -14,56 +14,59 @@
 
 class generator;
 
-/// The limit that one upstream names for all entry hosts together, as one of
-/// them keeps it.
+/// One entry host's view of the rate limit that an upstream sets for all
+/// entry hosts together.
 ///
-/// Load it answers: an upstream in need that takes less than a request a
-/// second from each entry host. A share of the limit for each host is either
-/// not used, where requests come to others, or saved by all hosts and spent
-/// together. Here every host keeps the same bucket of tokens: it takes one
-/// for each request that it sends, and one for each that others report.
-/// Hosts that see the same token do not all spend it, since each waits for
-/// another part of a further one.
+/// Protects an overloaded upstream that accepts less than one request a
+/// second from each entry host. A fixed share for each host would either stay
+/// unused, where the requests arrive at other hosts, or be saved up by all
+/// hosts and spent at the same time. Instead, every host keeps a copy of one
+/// token bucket: it consumes one token for each request that it sends and one
+/// for each request that another host reports. Hosts that see the same token
+/// do not all spend it, since each waits for a different random fraction of
+/// the tokens beyond it.
 class shared_limit
 {
 public:
-    /// Makes the limit of an upstream that has named none.
+    /// Creates the state of an upstream that has set no limit.
     explicit shared_limit(shared_limit_settings const& settings = {});
 
-    /// An answer of the upstream, which came at `seen`, named this limit, or
-    /// none. Older ones than the last change nothing. True if the limit is
-    /// another one by it.
+    /// Applies the limit in requests a second that an answer of the upstream
+    /// set at `seen`; nothing for no limit. An answer older than the last one
+    /// applied changes nothing. True if the limit changed.
     bool observe(std::optional<double> per_second, instant seen);
 
-    /// This host sends a request.
+    /// Records that this host sends a request.
     void consume(instant now, generator& random);
 
-    /// Another host has sent so many since it knows of the limit.
+    /// Records that another host has sent `sent` requests in total since it
+    /// received the limit.
     void record_peer_sent(host_id const& host, std::uint64_t sent, instant now,
                           generator& random);
 
-    /// True if a request may be sent.
+    /// True if this host may send a request.
     bool has_token(instant now) const;
 
-    /// Time until one may be sent, if nobody else sends one.
+    /// Time until this host may send a request, if no other host sends one.
     duration until_token(instant now) const;
 
     /// True while a limit is in force.
     bool is_in_force(instant now) const;
 
-    /// The limit as it was named last, requests a second.
+    /// The last limit set by the upstream, in requests a second.
     std::optional<double> per_second() const
     {
         return this->rate;
     }
 
-    /// When the upstream named it.
+    /// When the upstream set it.
     instant seen() const
     {
         return this->seen_at;
     }
 
-    /// Requests that this host has sent while the limit was in force.
+    /// Total number of requests that this host sent while a limit was in
+    /// force.
     std::uint64_t sent() const
     {
         return this->own_sent;
@@ -81,8 +84,8 @@
     instant seen_at{};
     double tokens = 0;
     instant updated_at{};
-    // Part of the tokens that may be saved beyond one for which this host
-    // waits; another one after each request.
+    // This host sends only when it has one token plus this fraction of the
+    // tokens that may be saved beyond one; drawn anew after each request.
     double reserve_fraction = 0;
     std::uint64_t own_sent = 0;
     std::map<host_id, std::uint64_t> sent_by;
--- a/bilberrylead/policy/shared_limit_settings.hpp
+++ b/bilberrylead/policy/shared_limit_settings.hpp
@@ -11,15 +11,16 @@
 /// Settings of shared_limit.
 struct shared_limit_settings
 {
-    /// A limit that no answer has confirmed for so long is forgotten.
+    /// Time after which a limit that no answer has confirmed expires.
     duration lifetime = std::chrono::minutes(5);
-    /// Requests a second that are sent whatever the limit: without any,
-    /// nobody would hear its end.
+    /// Requests a second that are sent whatever the limit. Without any
+    /// request, no host would receive the end of the limit.
     double min_rate = 0.2;
-    /// Most tokens that may be saved beyond one; never more than a second's.
+    /// Maximum number of tokens saved beyond one; never more than one second
+    /// of the limit.
     double max_saved = 2;
-    /// Least that the tokens may fall to, in seconds of the limit: what was
-    /// sent before the hosts knew of it is not made up for beyond that.
+    /// Maximum token debt, in seconds of the limit. Requests sent before the
+    /// hosts received the limit are not compensated for beyond that.
     double max_debt_seconds = 4;
 };
 
--- a/bilberrylead/policy/slot_grant.hpp
+++ b/bilberrylead/policy/slot_grant.hpp
@@ -9,21 +9,22 @@
 namespace bilberrylead::policy
 {
 
-/// A slot that its owner gave to an entry host, as the owner remembers it.
+/// The owner's record of a slot that it granted to an entry host.
 struct slot_grant
 {
-    /// Names the grant; an owner never uses a number twice.
+    /// Identifies the grant; an owner never reuses an id.
     std::uint64_t id = 0;
-    /// The upstream, by its place in the owner's list.
+    /// The upstream, as an index into the owner's list.
     std::uint32_t upstream = 0;
     /// The entry host that may use it.
     std::uint32_t host = 0;
-    /// What runs in it.
+    /// Length of the work that runs in the slot.
     config::work_length length = config::work_length::brief;
-    /// When the owner takes it back unless it hears from the host.
+    /// When the owner revokes the grant unless it receives a message from the
+    /// host before.
     instant expires;
-    /// True if a slot was free when it was given, so that the time until
-    /// the answer is service time and no wait.
+    /// True if a slot was free at the grant, so that the time until the
+    /// answer is service time without any wait.
     bool slot_was_free = true;
 };
 
--- a/bilberrylead/policy/slot_owner.cpp
+++ b/bilberrylead/policy/slot_owner.cpp
@@ -11,7 +11,8 @@
 
 using config::work_length;
 
-/// Wait behind `turns` requests in front of `slots`.
+/// Wait of a request behind `requests` others that each hold one of `slots`
+/// slots for `hold_time`.
 duration wait_behind(std::size_t requests, duration hold_time,
                      std::uint32_t slots)
 {
@@ -80,8 +81,9 @@
     request.length = event.length;
     request.host = event.host;
     request.moved = event.moved;
-    // A flow with a backlog takes it nowhere else: moved from every zone to
-    // the one with room, one caller's burst would fill that too.
+    // A flow with a backlog does not move requests. Otherwise the burst of one
+    // caller would move from every zone to the one with free capacity and fill
+    // that as well.
     request.may_move =
         !event.moved && this->queue.brief_waiting_of(event.flow) == 0;
 
@@ -92,7 +94,8 @@
         return;
     }
 
-    // Elsewhere first: a request that moves at once has lost nothing yet.
+    // Other zones are tried first: a request that moves at once has not lost
+    // any time yet.
     if (request.may_move && request.length == work_length::brief)
     {
         std::optional<std::uint32_t> const zone = this->better_zone(
@@ -147,8 +150,8 @@
 
 void slot_owner::on(ownership_renewed const& event, instant now)
 {
-    // A lease that ran out is not taken up again: another owner may have
-    // granted slots since. It takes a new epoch.
+    // An expired lease is not renewed: another owner may have granted slots
+    // since. Ownership then needs a new epoch.
     if (now < this->owner_until)
     {
         this->owner_until = std::max(this->owner_until, event.until);
@@ -201,7 +204,7 @@
     {
         return duration{};
     }
-    // What was sent ahead waits too, only somewhere else.
+    // Requests sent in advance wait as well, at their upstreams.
     pool.free = 0;
     return wait_behind(this->table.sent_in_advance(), pool.brief_time,
                        pool.usable) +
@@ -228,12 +231,13 @@
         {
             continue;
         }
-        // What was moved there since its report is in front of this one.
+        // Requests moved there since its report wait before this one.
         duration const wait_there =
             2 * zone.distance + zone.expected_wait +
             wait_behind(zone.moved_since, this->table.mean_time(), zone.usable);
-        // A distant zone only if it has room: its report is old, and when
-        // all zones fill up together each would think the other is better.
+        // A distant zone is used only if it has free capacity: its report is
+        // old, and when all zones fill up together, each would take the other
+        // for the better one.
         bool const distant = 2 * zone.distance > this->table.mean_time();
         if (distant &&
             wait_there - 2 * zone.distance > this->settings.max_distant_wait)
@@ -274,8 +278,8 @@
     }
     while (this->queue.size() > 0)
     {
-        // Also a slow upstream's slot may be worth it for who waits longest,
-        // and pool() counts only the fast ones as free.
+        // pool() counts only slots of fast upstreams as free, but the request
+        // that has waited longest may also gain from a slow upstream's slot.
         slot_pool pool = this->table.pool();
         pool.free = std::max(pool.free, 1U);
         waiting_request const* const request = this->queue.peek(pool);
@@ -314,7 +318,8 @@
 {
     while (this->queue.brief_waiting() > 0)
     {
-        // The last one gains most; if it does not gain, nobody does.
+        // The last request gains most from a move; if it gains nothing, none
+        // does.
         std::optional<std::uint32_t> const zone =
             this->better_zone(this->expected_wait(0, now),
                               this->settings.admission.max_burst_wait, now);
--- a/bilberrylead/policy/slot_owner.hpp
+++ b/bilberrylead/policy/slot_owner.hpp
@@ -15,41 +15,42 @@
 namespace bilberrylead::policy
 {
 
-/// Owner of all slots of one service's upstreams in one zone, and of the
-/// wait in front of them. One entry host of the zone is the owner, by lease.
+/// Owner of all slots of one service's upstreams in one zone and of the queue
+/// for them. One entry host of the zone is the owner, by lease.
 ///
-/// Load it answers: upstreams with three slots that ten entry hosts use
-/// without seeing each other. Each of them alone either overfills an
-/// upstream or leaves slots empty. With one owner a request waits in front
-/// of all the slots of its zone and gets the first that comes free; a
-/// request that would wait longer here than there and back to another zone
-/// moves.
+/// Coordinates the entry hosts of a zone: ten of them that use upstreams with
+/// three slots each without seeing each other's requests either overload an
+/// upstream or leave slots idle. With one owner a request waits for all slots
+/// of its zone and gets the first that comes free. A request moves to another
+/// zone if its wait there, including the round trip, is shorter.
 ///
-/// A slot granted twice is an overload, and owners vanish. So a grant ends
-/// by the owner's clock later than by the clock of the host that holds it
-/// (the host counts from when it sent its ask); an owner whose lease ran
-/// out grants nothing, however long it was frozen; and a new owner grants
-/// nothing until every host has said what it holds, or until the longest
-/// grant of the former owner has ended.
+/// A slot granted twice overloads its upstream, and owners may fail at any
+/// time. Three rules prevent double grants:
+/// - A grant expires later by the owner's clock than by the clock of the host
+///   that holds it (the host counts from when it sent its request).
+/// - An owner whose lease expired grants nothing, however long it was frozen.
+/// - A new owner grants nothing until every host has reported the slots that
+///   it holds, or until the longest grant of the previous owner has expired.
 class slot_owner
 {
 public:
-    /// Makes an owner of upstreams with these slots, without ownership yet.
+    /// Creates the state for upstreams with these numbers of slots. It does
+    /// not own them until ownership_started.
     slot_owner(std::vector<std::uint32_t> const& slots,
                std::vector<neighbour_zone> const& zones,
                slot_owner_settings const& settings = {});
 
-    /// Takes one event. What it returns is valid until the next call.
+    /// Applies one event. The returned effects are valid until the next call.
     std::vector<slot_owner_effect> const& reduce(slot_owner_event const& event,
                                                  instant now);
 
-    /// What this zone tells the others now.
+    /// The load report that this zone sends to the others now.
     zone_load_reported load(instant now) const;
 
     /// True if it may grant slots now.
     bool grants_slots(instant now) const;
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     std::size_t waiting() const
     {
         return this->queue.size();
--- a/bilberrylead/policy/slot_owner_effect.hpp
+++ b/bilberrylead/policy/slot_owner_effect.hpp
@@ -10,46 +10,47 @@
 namespace bilberrylead::policy
 {
 
-/// Tell the entry host: send the request to this upstream.
+/// Notify the entry host: send the request to this upstream.
 struct slot_granted
 {
     /// The entry host.
     std::uint32_t host = 0;
-    /// Its name for the request.
+    /// The entry host's id of the request.
     std::uint64_t ticket = 0;
-    /// The upstream, by its place in the owner's list.
+    /// The upstream, as an index into the owner's list.
     std::uint32_t upstream = 0;
-    /// What slot_released must name.
+    /// Id that slot_released must carry.
     std::uint64_t grant = 0;
     /// The owner's epoch.
     std::uint64_t epoch = 0;
-    /// How long it lasts, counted from when the entry host sent its ask.
+    /// How long the grant lasts, counted from when the entry host sent its
+    /// request.
     duration lifetime{};
 };
 
-/// Tell the entry host: the request is not run; answer its caller now.
+/// Notify the entry host: the request is not run; answer its caller now.
 struct slot_refused
 {
     /// The entry host.
     std::uint32_t host = 0;
-    /// Its name for the request.
+    /// The entry host's id of the request.
     std::uint64_t ticket = 0;
-    /// Why, and when to come back.
+    /// Reason and retry time.
     refuse refusal;
 };
 
-/// Tell the entry host: take the request to the owner of that zone.
+/// Notify the entry host: send the request to the owner of that zone.
 struct request_moved
 {
     /// The entry host.
     std::uint32_t host = 0;
-    /// Its name for the request.
+    /// The entry host's id of the request.
     std::uint64_t ticket = 0;
-    /// The zone, by its place in the owner's list of neighbours.
+    /// The zone, as an index into the owner's list of nearby zones.
     std::uint32_t zone = 0;
 };
 
-/// What a slot_owner wants done.
+/// An effect that slot_owner returns.
 using slot_owner_effect =
     std::variant<slot_granted, slot_refused, request_moved>;
 
--- a/bilberrylead/policy/slot_pool.hpp
+++ b/bilberrylead/policy/slot_pool.hpp
@@ -9,20 +9,20 @@
 namespace bilberrylead::policy
 {
 
-/// The slots that a queue stands in front of, as admission sees them.
+/// State of the slots that a queue feeds, as input to admission.
 struct slot_pool
 {
     /// Slots that may be used now.
     std::uint32_t usable = 0;
     /// Slots that are free now.
     std::uint32_t free = 0;
-    /// Slots that long work holds.
+    /// Slots held by long work.
     std::uint32_t long_held = 0;
-    /// Slots that brief work held on average of late.
+    /// Recent average number of slots held by brief work.
     double brief_average = 0;
     /// Mean time that a brief request holds a slot; over 0.
     duration brief_time = std::chrono::milliseconds(20);
-    /// Time that all but a few brief requests take from slot to answer.
+    /// Time from slot to answer that all but a few brief requests stay under.
     duration brief_reserve = std::chrono::milliseconds(200);
     /// Mean time that a long request holds a slot; over 0.
     duration long_time = std::chrono::seconds(2);
--- a/bilberrylead/policy/slot_table.cpp
+++ b/bilberrylead/policy/slot_table.cpp
@@ -13,13 +13,13 @@
 
 using config::work_length;
 
-/// Time over which the load of brief work is averaged.
+/// Time constant of the average load of brief work.
 constexpr duration load_window = std::chrono::seconds(1);
 constexpr duration initial_brief_time = std::chrono::milliseconds(20);
 constexpr duration initial_long_time = std::chrono::seconds(2);
-/// Weight of one answer in the pool's mean.
+/// Weight of one answer in the pool's mean log service time.
 constexpr double pool_weight = 0.005;
-/// Share of brief requests that are done within the reserve.
+/// Share of brief requests that complete within the reserve.
 constexpr double reserve_quantile = 0.999;
 
 } // namespace
@@ -80,8 +80,10 @@
 
 std::optional<std::uint32_t> slot_table::pick_fast() const
 {
-    // Most free slots first. Where none is free, ahead of a slot of the
-    // upstream with the least long work: its slots come free soonest.
+    // The upstream with the most free slots comes first. If none has a free
+    // slot, the request is sent in advance to the upstream with the least long
+    // work among those with the fewest requests sent in advance: its slots come
+    // free soonest.
     std::optional<std::uint32_t> picked;
     std::int64_t best = 0;
     for (std::uint32_t index = 0; index < this->upstreams.size(); ++index)
@@ -122,7 +124,7 @@
                                  duration expected_wait, duration time_left,
                                  instant now) const
 {
-    // Nearly every request must still make its deadline there.
+    // Nearly every request must still meet its deadline there.
     double const times = std::exp(slow.log_ratio);
     duration const reserve = this->brief_times.quantile(reserve_quantile);
     if (static_cast<double>(time_left.count()) <
@@ -131,8 +133,9 @@
         return false;
     }
 
-    // One request now and then shows whether it still is slow. More only
-    // when waiting for a fast slot takes longer than what is lost here.
+    // One request per probe interval shows whether the upstream still is slow.
+    // It gets more only if the wait for a fast slot is longer than the time
+    // lost here.
     if (now - slow.last_probe >= this->settings.slow_probe_interval)
     {
         return true;
@@ -294,7 +297,7 @@
 
 void slot_table::record_load(instant now)
 {
-    // A first-order average: what was held until now, weighed by how long.
+    // Exponential moving average of the slots held, weighted by time.
     duration const passed = now - this->load_recorded_at;
     this->load_recorded_at = now;
     double const keep = std::exp(-static_cast<double>(passed.count()) /
@@ -306,8 +309,9 @@
 
 bool slot_table::may_flag_slow() const
 {
-    // At most half of them: when all get slow, it is what lies behind them,
-    // and setting them aside would leave no slots at all.
+    // At most half of the upstreams are flagged as slow. When all of them get
+    // slow, the cause is a dependency that they share, and avoiding them all
+    // would leave no slots.
     std::size_t slow = 1;
     for (upstream_slots const& upstream : this->upstreams)
     {
@@ -325,8 +329,8 @@
     upstream.log_ratio +=
         weight * (sample - this->pool_mean_log - upstream.log_ratio);
 
-    // Leaving "slow" takes a lower ratio than entering it, or an upstream at
-    // the border would change with each answer.
+    // Hysteresis: the flag is cleared at a lower ratio than it is set, or an
+    // upstream at the threshold would change with each answer.
     double const threshold = std::log(this->settings.slow_ratio);
     upstream.slow =
         upstream.slow ? upstream.log_ratio > threshold / 2
--- a/bilberrylead/policy/slot_table.hpp
+++ b/bilberrylead/policy/slot_table.hpp
@@ -13,66 +13,69 @@
 namespace bilberrylead::policy
 {
 
-/// The slots of a zone's upstreams of one service, and who holds them.
+/// The slots of a zone's upstreams of one service, and their holders.
 ///
-/// Load it answers: many entry hosts in front of upstreams with three slots
-/// each. Entry hosts that choose by their own counts fill a busy upstream's
-/// queue while another one's slots stand empty, and cannot know it. One
-/// table that every slot is taken from and given back to knows it exactly.
-/// A slow upstream's slots are taken last, when waiting for a fast one would
-/// take longer. Memory is taken at construction.
+/// Serves many entry hosts in front of upstreams with three slots each. Entry
+/// hosts that choose by their own counts fill the queue of a busy upstream
+/// while slots of another one are idle, and cannot detect it. One table in
+/// which every slot is acquired and released has the exact state. Slots of a
+/// slow upstream are used last, when the wait for a fast one would be longer.
+/// Memory is allocated at construction.
 class slot_table
 {
 public:
-    /// Makes a table of upstreams with the slots named, all free.
+    /// Creates a table of upstreams with these numbers of slots, all free.
     slot_table(std::vector<std::uint32_t> const& slots,
                slot_table_settings const& settings);
 
-    /// The pool as admission sees it; `free` counts what pick would give.
+    /// The pool as input to admission; `free` counts the slots of upstreams
+    /// that are not slow, and the requests that may be sent in advance.
     slot_pool pool() const;
 
     /// The upstream that the next request goes to, or nothing.
     /// `expected_wait` is how long the request would wait for a fast slot,
-    /// `time_left` what its deadline leaves.
+    /// `time_left` the time until its deadline.
     std::optional<std::uint32_t> pick(duration expected_wait,
                                       duration time_left, instant now) const;
 
-    /// Records a slot as given.
+    /// Records a granted slot.
     slot_grant const& grant(std::uint32_t upstream, std::uint32_t host,
                             config::work_length length, instant expires,
                             instant now);
 
-    /// Numbers grants from this epoch on, unlike those of any other.
+    /// Starts the grant ids of this epoch; they differ from those of any
+    /// other epoch.
     void start_epoch(std::uint64_t epoch);
 
-    /// Records a slot that a former owner gave; nothing if it is known.
+    /// Records a grant of the previous owner; no effect if the table already
+    /// contains it.
     void adopt(slot_grant const& held, instant now);
 
-    /// Takes a slot back; `service_time` is what the host measured between
-    /// sending and answer, zero if there was no answer. False if the grant
-    /// is not known (any more).
+    /// Releases a slot. `service_time` is the time that the host measured
+    /// between sending and answer, zero without an answer. False if the table
+    /// does not contain the grant (any more).
     bool release(std::uint64_t id, duration service_time, instant now);
 
-    /// Prolongs all grants of a host that was heard from.
+    /// Extends all grants of a host, after a message from it.
     void renew(std::uint32_t host, instant expires);
 
-    /// Takes back every grant that expired; how many.
+    /// Releases every expired grant; returns their number.
     std::uint32_t expire(instant now);
 
-    /// Sets the slots that may be used: fewer on a slow return, none when
-    /// the upstream leaves or is ejected.
+    /// Sets the number of usable slots: fewer while the upstream recovers
+    /// gradually, none when it leaves or is ejected.
     void set_usable(std::uint32_t upstream, std::uint32_t usable);
 
-    /// Slots given of one upstream, requests sent ahead included.
+    /// Granted slots of one upstream, including requests sent in advance.
     std::uint32_t granted(std::uint32_t upstream) const;
 
-    /// Slots of upstreams that are not slow that stand empty.
+    /// Free slots of the upstreams that are not slow.
     std::uint32_t free_slots() const;
 
-    /// Requests sent ahead of a free slot, over all upstreams.
+    /// Requests sent in advance of a free slot, over all upstreams.
     std::uint32_t sent_in_advance() const;
 
-    /// True if the upstream is treated as slow.
+    /// True if the upstream is flagged as slow.
     bool is_slow(std::uint32_t upstream) const;
 
     /// Mean service time of brief work in the pool.
@@ -88,7 +91,7 @@
         std::uint32_t usable = 1;
         std::uint32_t granted = 0;
         std::uint32_t long_held = 0;
-        /// Mean of the logarithm of (service time / pool's), of late.
+        /// Moving mean of log(service time / service time of the pool).
         double log_ratio = 0;
         bool slow = false;
         instant last_probe;
@@ -112,7 +115,7 @@
     std::uint64_t last_id = 0;
     std::uint32_t long_held = 0;
     double brief_average = 0;
-    /// Mean of the logarithm of brief service times in ns.
+    /// Moving mean of the logarithm of brief service times in ns.
     double pool_mean_log = 0;
     instant load_recorded_at;
 };
--- a/bilberrylead/policy/token_bucket.hpp
+++ b/bilberrylead/policy/token_bucket.hpp
@@ -8,27 +8,28 @@
 namespace bilberrylead::policy
 {
 
-/// A bucket of tokens that fills with time.
+/// Token bucket that refills with time.
 ///
-/// Load it answers: an upstream with cold caches, which crashes under what
-/// it bears when warm. Each entry host keeps to its share of the rate, so
-/// that the sum holds although none of them sees the others' requests.
+/// Protects an upstream with cold caches, which crashes under a load that it
+/// sustains when warm. Each entry host keeps to its share of the rate, so
+/// that the total is within the rate although no host sees the requests of
+/// the others.
 class token_bucket
 {
 public:
-    /// Makes a bucket that holds one token and never more than `most`.
+    /// Creates a full bucket that never holds more than `capacity` tokens.
     explicit token_bucket(double capacity = 1)
         : capacity(capacity), tokens(capacity)
     {
     }
 
-    /// True if a token is there.
+    /// True if at least one token is available.
     bool has_token(double tokens_per_second, instant now) const
     {
         return this->level(tokens_per_second, now) >= 1;
     }
 
-    /// Takes a token; the bucket goes below zero if there is none.
+    /// Consumes a token; the level becomes negative if none is available.
     void consume(double tokens_per_second, instant now)
     {
         this->tokens = this->level(tokens_per_second, now) - 1;
--- a/bilberrylead/policy/waiting_request.hpp
+++ b/bilberrylead/policy/waiting_request.hpp
@@ -9,27 +9,27 @@
 namespace bilberrylead::policy
 {
 
-/// A request in front of the slots, as far as policy has to know it.
+/// The properties of a waiting request that admission decides by.
 struct waiting_request
 {
-    /// Names it towards whoever asked; unique while it waits.
+    /// Identifies the request to its sender; unique while it waits.
     std::uint64_t ticket = 0;
-    /// Hash of the caller: requests of one flow take turns with the other
-    /// flows, not with each other.
+    /// Hash of the caller. Slots are shared out fairly among flows, not among
+    /// the requests of one flow.
     std::uint32_t flow = 0;
-    /// When it came in, on this process's clock.
+    /// When it arrived, by this process's clock.
     instant arrived;
-    /// When its answer is of no more use.
+    /// Time after which its answer is of no use.
     instant deadline;
-    /// What it costs an upstream.
+    /// How long it occupies an upstream.
     config::work_length length = config::work_length::brief;
-    /// The entry host that asks, by its place in the configuration.
+    /// The requesting entry host, as an index into the configuration.
     std::uint32_t host = 0;
-    /// True if it was let in by another zone and moved here. It stays: two
-    /// zones that each think the other idle would pass it back and forth
-    /// until its deadline.
+    /// True if another zone admitted it and moved it here. It does not move
+    /// again: two zones that each take the other for idle would pass it back
+    /// and forth until its deadline.
     bool moved = false;
-    /// True if it may still be sent to another zone.
+    /// True if it may still be moved to another zone.
     bool may_move = true;
 };
 
--- a/tests/unit/policy/admission_queue_test.cpp
+++ b/tests/unit/policy/admission_queue_test.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// Three slots that hold a brief request for 20 ms each.
+/// A queue for three slots that each hold a brief request for 20 ms.
 struct queue_fixture
 {
     admission_queue queue;
@@ -55,10 +55,11 @@
     cr_assert_eq(fixture.queue.size(), 0);
 }
 
-// A burst: 200 look-ups of as many callers at once in front of three slots.
-// Without the bound (bounded = false) all of them wait, the last one for
-// 1.3 s and beyond its use; with it the first 0.5 s worth of them wait and
-// the others hear at once when to come back.
+// Guards against an unbounded queue in a burst: 200 look-ups of as many
+// callers arrive at once for three slots. Without the bound (bounded = false)
+// all of them wait, the last one for 1.3 s, which is too long to be of use.
+// With it as many as can be served in 0.5 s wait, and the others receive a
+// retry time at once.
 Test(admission_queue, burst_beyond_the_bound_is_refused_at_once)
 {
     queue_fixture fixture;
@@ -86,8 +87,8 @@
     cr_assert_eq(unbounded.offer_many(1, 200), 200);
 }
 
-// The caller of a request that cannot end in time would wait for nothing
-// and then hear nothing useful; it is told at once instead.
+// Guards against queueing a request that cannot complete before its deadline:
+// its caller would wait in vain.
 Test(admission_queue, request_without_time_left_is_refused_at_once)
 {
     queue_fixture fixture;
@@ -95,9 +96,10 @@
     cr_assert(std::holds_alternative<wait>(fixture.offer(1, 210ms)));
 }
 
-// One payroll bureau sends 500 requests, then 20 other callers send one
-// each. Served in order of arrival (by_flow = false), the bureau fills the
-// bound and all 20 are refused; by flow, all 20 wait, and are served first.
+// Guards against one heavy caller that crowds out the others: a payroll bureau
+// sends 500 requests, then 20 other callers send one each. Served in order of
+// arrival (by_flow = false), the bureau fills the bound and all 20 are refused.
+// Served by flow, all 20 wait and are served first.
 Test(admission_queue, heavy_caller_holds_only_its_share)
 {
     for (bool const by_flow : {false, true})
@@ -125,8 +127,8 @@
     }
 }
 
-// Downloads among look-ups: with the limit switched off three downloads
-// take all three slots, and each look-up waits for seconds.
+// Guards against downloads that occupy all slots: with the limit disabled
+// three downloads hold all three slots, and each look-up waits for seconds.
 Test(admission_queue, downloads_leave_slots_for_lookups)
 {
     for (bool const enabled : {false, true})
@@ -149,8 +151,8 @@
     }
 }
 
-// Saturation: the queue has stood for seconds. It gets shorter, since a
-// long one would serve no more requests and only make each of them later.
+// Saturation: the queue has not been empty for seconds. Its bound is shorter,
+// since a longer queue only delays each request without more throughput.
 Test(admission_queue, standing_queue_has_a_shorter_max_wait)
 {
     queue_fixture fixture;
--- a/tests/unit/policy/bulk_pacer_test.cpp
+++ b/tests/unit/policy/bulk_pacer_test.cpp
@@ -18,8 +18,8 @@
 
 } // namespace
 
-// A caller's look-up waits behind 90 KB of somebody else's download: the
-// download's pieces are spread over the time the link needs for them.
+// Guards against a look-up that waits behind 90 KB of another caller's
+// download: the pieces are spread over the time that the link needs for them.
 Test(bulk_pacer, long_answer_is_paced_at_the_link_rate)
 {
     bulk_pacer pace(six_mbit);
@@ -57,7 +57,8 @@
     cr_expect_gt(pace.reserve(piece, piece, start), 100ms);
 }
 
-// A download must not be taken for dead, however many there are.
+// Guards against a download that stalls so long that it is taken for a broken
+// connection, however many there are.
 Test(bulk_pacer, no_piece_waits_longer_than_the_max_wait)
 {
     bulk_pacer pace(six_mbit);
@@ -69,8 +70,9 @@
     cr_expect_leq(longest, 250ms);
 }
 
-// A crowd of downloads is over and the link idle: a later one must not wait
-// for what the crowd took beyond the pace.
+// Guards against a debt that outlasts its downloads: many downloads are over
+// and the link is idle, so a later one must not wait for the bytes that they
+// sent beyond the pace.
 Test(bulk_pacer, finished_downloads_do_not_delay_later_ones)
 {
     bulk_pacer pace(six_mbit);
--- a/tests/unit/policy/crash_history_test.cpp
+++ b/tests/unit/policy/crash_history_test.cpp
@@ -24,7 +24,7 @@
     return upstream_id(name);
 }
 
-/// A history in which upstreams ended under one request.
+/// A history in which these upstreams ended while they ran one request.
 crash_history history_of(std::vector<char const*> const& ended)
 {
     crash_history history;
@@ -49,7 +49,7 @@
               crash_verdict::refused);
 }
 
-// Guards against one crash that is counted as often as hosts saw it.
+// Guards against counting one crash once for each host that observed it.
 Test(crash_history, one_upstream_counts_once)
 {
     crash_history history = history_of({"a", "a", "a"});
@@ -57,7 +57,7 @@
     cr_expect(history.verdict_of(request) == crash_verdict::unrestricted);
 }
 
-// Guards against innocent requests that are refused since they ran beside
+// Guards against refusing harmless requests because they ran concurrently with
 // one that crashes upstreams.
 Test(crash_history, complete_answer_clears_on_all_hosts)
 {
@@ -66,7 +66,7 @@
     std::optional<crash_record> const cleared = here.clear(request, start);
     cr_assert(cleared.has_value());
     there.merge({*cleared}, start);
-    // What was said before the answer comes late.
+    // A record from before the answer arrives late.
     there.merge({{request, 0, {upstream("c")}}}, start);
     cr_expect(there.verdict_of(request) == crash_verdict::unrestricted);
     cr_expect(!here.clear(request, start).has_value());
@@ -81,7 +81,7 @@
     one.merge(merged.missing_at_sender, start);
     cr_expect(one.records() == other.records());
     cr_expect(one.verdict_of(request) == crash_verdict::refused);
-    // Nothing more to tell: messages end.
+    // No differences are left, so the exchange of messages ends.
     cr_expect(one.merge(other.records(), start).changed.empty());
     cr_expect(one.merge(other.records(), start).missing_at_sender.empty());
 }
@@ -101,8 +101,8 @@
     cr_expect_eq(history.size(), 0U);
 }
 
-// Guards against a caller whose many requests push out the one that crashes
-// upstreams, and against hosts that hand evicted records round for ever.
+// Guards against a caller whose many requests evict the one that crashes
+// upstreams, and against hosts that exchange evicted records for ever.
 Test(crash_history, full_history_keeps_refused_requests)
 {
     policy::crash_history_settings settings;
--- a/tests/unit/policy/fair_queue_test.cpp
+++ b/tests/unit/policy/fair_queue_test.cpp
@@ -24,9 +24,10 @@
 
 } // namespace
 
-// A caller's second request waits while a new caller arrives for each slot
-// that comes free. With turns as counts it was never served: every new
-// flow's first turn came before it. Its wait is bounded by one round.
+// Guards against starvation of a caller's second request while a new caller
+// arrives for each slot that comes free. With start tags that are counts
+// instead of times it was never served, since the first tag of every new flow
+// was lower. Its wait must be bounded by one round.
 Test(fair_queue, second_request_of_a_flow_is_not_starved_by_new_flows)
 {
     fair_queue queue;
--- a/tests/unit/policy/shared_limit_test.cpp
+++ b/tests/unit/policy/shared_limit_test.cpp
@@ -16,7 +16,8 @@
 instant const start = instant{} + 1h;
 host_id const other("e2");
 
-/// Requests that one host sends in a time, one whenever it may.
+/// Number of requests that one host sends within `time` if it sends one
+/// whenever it may.
 int sent_within(shared_limit& limit, duration time, instant from)
 {
     policy::generator random(1);
@@ -60,7 +61,7 @@
     limit.observe(2.0, start);
     limit.record_peer_sent(other, 5, start, random);
     cr_expect_not(limit.has_token(start + 500ms));
-    // The same sum twice counts once.
+    // A repeated report of the same total counts once.
     for (int time = 0; time < 10; ++time)
     {
         limit.record_peer_sent(other, 5, start + 1s, random);
@@ -70,7 +71,7 @@
     cr_expect_not(limit.has_token(start + 4s));
 }
 
-// Guards against news that come late and bring an ended limit back.
+// Guards against a late update that restores a limit that has ended.
 Test(shared_limit, older_limit_changes_nothing)
 {
     shared_limit limit;
@@ -88,7 +89,7 @@
     cr_expect_not(limit.is_in_force(start + 10min));
 }
 
-// Guards against a limit of 0 whose end nobody would hear.
+// Guards against a limit of 0 whose end no host would receive.
 Test(shared_limit, limit_of_zero_lets_few_requests_through)
 {
     shared_limit limit;
--- a/tests/unit/policy/slot_owner_test.cpp
+++ b/tests/unit/policy/slot_owner_test.cpp
@@ -20,8 +20,8 @@
     return settings;
 }
 
-/// Two upstreams with three slots each, one neighbour zone 1 ms away and
-/// one 35 ms away, in ownership for ten seconds.
+/// An owner of two upstreams with three slots each, for ten seconds, with one
+/// nearby zone 1 ms away and one 35 ms away.
 struct owner_fixture
 {
     slot_owner owner;
@@ -100,8 +100,8 @@
     cr_assert_eq(fixture.owner.waiting(), 1);
 }
 
-// An entry host dies with all slots. Its callers are lost to it anyway, but
-// without an end of the grants nobody would ever get these slots again.
+// Guards against leaked slots: an entry host that holds all slots crashes. If
+// its grants did not expire, no host would ever get these slots again.
 Test(slot_owner, grants_of_an_unresponsive_host_expire)
 {
     owner_fixture fixture;
@@ -110,7 +110,7 @@
     fixture.now += 2900ms;
     cr_assert_eq(fixture.request_slots<slot_granted>(1), 0);
     fixture.now += 100ms;
-    // The one that waits and the new one.
+    // The waiting request and the new one.
     cr_assert_eq(fixture.request_slots<slot_granted>(1), 2);
 }
 
@@ -126,9 +126,10 @@
     cr_assert_eq(fixture.owner.slots().granted(0), 3);
 }
 
-// The owner is frozen for longer than its lease; another host took over and
-// grants the same slots. When it thaws, its first event is an old ask. It
-// must not grant, and a late renewal must not bring it back to life.
+// Guards against two owners at a time: the owner is frozen for longer than its
+// lease, and another host takes over and grants the same slots. After the
+// freeze its first event is an old slot request. It must not grant a slot, and
+// a late renewal must not restore its ownership.
 Test(slot_owner, owner_past_its_lease_grants_nothing)
 {
     owner_fixture fixture;
@@ -138,9 +139,9 @@
     cr_assert_not(fixture.owner.grants_slots(fixture.now));
 }
 
-// Requests wait at an owner that is frozen; when it thaws, they can no longer
-// get a slot here. Kept, they would wait for their deadline; told at once,
-// their hosts ask the new owner while there is time.
+// Guards against requests stuck at an owner that was frozen past its lease and
+// can no longer grant them a slot. They would wait until their deadline;
+// refused at once, their hosts can send them to the new owner in time.
 Test(slot_owner, owner_past_its_lease_refuses_waiting_requests)
 {
     owner_fixture fixture;
@@ -159,9 +160,10 @@
         refusal_reason::owner_changed);
 }
 
-// A new owner does not know what the former one granted. Without the pause
-// (settle and hosts_to_report zero) it grants all six slots a second time,
-// and every upstream gets twice its slots.
+// Guards against a new owner that has no record of the grants of the previous
+// one. Without the settling time (settling_time and hosts_to_report zero) it
+// grants all six slots a second time, and every upstream gets twice as many
+// requests as it has slots.
 Test(slot_owner, new_owner_waits_for_grant_reports)
 {
     owner_fixture without_settling;
@@ -182,9 +184,10 @@
     cr_assert_eq(fixture.owner.waiting(), 1);
 }
 
-// A host was owner, lost the lease, and gets it back while a grant of its
-// first epoch still runs. It knows the grant and hears of it again; counted
-// twice, the slot would stay lost until the second count expires.
+// Guards against counting a grant twice: a host was the owner, lost the lease,
+// and gets it back while a grant of its first epoch still runs. It has the
+// grant in its table and receives a report of it as well. Counted twice, the
+// slot would be lost until the second entry expires.
 Test(slot_owner, grant_reported_back_counts_once)
 {
     owner_fixture fixture;
@@ -200,8 +203,8 @@
     cr_assert_eq(fixture.owner.slots().granted(granted.upstream), 0);
 }
 
-// Two owners that both count from one: the new owner's first grant must not
-// have the number of a grant that the former owner gave.
+// Guards against grant ids that each owner counts from one: the first grant of
+// the new owner must not have the id of a grant of the previous owner.
 Test(slot_owner, grants_of_two_epochs_have_different_numbers)
 {
     owner_fixture fixture;
@@ -237,13 +240,13 @@
             fixture.reduce(zone_load_reported{0, 6, {}});
         cr_assert_eq(moved.size(), moves ? 1 : 0);
         fixture.now += 1s;
-        // The report is a second old now: it moves nothing.
+        // The report is a second old now, so no request moves.
         cr_assert_eq(fixture.request_slots<request_moved>(1), 0);
     }
 }
 
-// Two zones that each think the other idle would pass a request back and
-// forth until its deadline.
+// Guards against two zones that each take the other for idle and pass a
+// request back and forth until its deadline.
 Test(slot_owner, moved_request_does_not_move_again)
 {
     owner_fixture fixture;
@@ -260,8 +263,9 @@
     cr_assert_not(fixture.reduce(zone_load_reported{1, 6, {}}).empty());
 }
 
-// One upstream gets five times slower. With the rule off (avoid_slow false)
-// it goes on to hold half of the zone's requests.
+// Guards against a slow upstream that ties up requests: one of the two gets
+// five times slower. Without the rule (avoid_slow false) it continues to hold
+// half of the zone's requests.
 Test(slot_owner, slow_upstream_gets_probes_only)
 {
     for (bool const avoid : {false, true})
@@ -284,8 +288,8 @@
     }
 }
 
-// Everything behind the service gets slow. Were all upstreams set aside,
-// there would be no slots left at all.
+// Guards against avoiding all upstreams: when a dependency of all of them gets
+// slow, avoiding them all would leave no slots.
 Test(slot_owner, all_upstreams_slow_stay_in_use)
 {
     owner_fixture fixture;
