--- a/bilberrylead/policy/slot_owner.cpp
+++ b/bilberrylead/policy/slot_owner.cpp
@@ -11,10 +11,12 @@
 
 using config::work_length;
 
-/// Wait behind `turns` requests in front of `slots`.
-duration wait_behind(std::size_t turns, duration held, std::uint32_t slots)
+/// Wait of a request behind `requests` others that each hold one of `slots`
+/// slots for `hold_time`.
+duration wait_behind(std::size_t requests, duration hold_time,
+                     std::uint32_t slots)
 {
-    return duration(held.count() * static_cast<std::int64_t>(turns) /
+    return duration(hold_time.count() * static_cast<std::int64_t>(requests) /
                     std::max(1U, slots));
 }
 
@@ -35,17 +37,17 @@
     this->effects.clear();
     this->table.expire(now);
     std::visit(
-        [this, now](auto const& what)
+        [this, now](auto const& alternative)
         {
-            this->on(what, now);
+            this->on(alternative, now);
         },
         event);
     if (!this->owns_slots(now))
     {
-        this->give_up_all();
+        this->refuse_all_waiting();
     }
-    this->serve(now);
-    this->give_up(now);
+    this->grant_waiting(now);
+    this->refuse_expired(now);
     return this->effects;
 }
 
@@ -59,7 +61,7 @@
 
 bool slot_owner::grants_slots(instant now) const
 {
-    bool const settled = this->reports_missing == 0 || now >= this->settled_at;
+    bool const settled = this->pending_reports == 0 || now >= this->settled_at;
     return this->owns_slots(now) && settled;
 }
 
@@ -68,7 +70,7 @@
     return this->epoch > 0 && now < this->owner_until;
 }
 
-void slot_owner::on(slot_asked const& event, instant now)
+void slot_owner::on(slot_requested const& event, instant now)
 {
     this->table.renew(event.host, now + this->settings.grant_lifetime);
     waiting_request request;
@@ -79,8 +81,9 @@
     request.length = event.length;
     request.host = event.host;
     request.moved = event.moved;
-    // A flow with a backlog takes it nowhere else: moved from every zone to
-    // the one with room, one caller's burst would fill that too.
+    // A flow with a backlog does not move requests. Otherwise the burst of one
+    // caller would move from every zone to the one with free capacity and fill
+    // that as well.
     request.may_move =
         !event.moved && this->queue.brief_waiting_of(event.flow) == 0;
 
@@ -91,7 +94,8 @@
         return;
     }
 
-    // Elsewhere first: a request that moves at once has lost nothing yet.
+    // Other zones are tried first: a request that moves at once has not lost
+    // any time yet.
     if (request.may_move && request.length == work_length::brief)
     {
         std::optional<std::uint32_t> const zone = this->better_zone(
@@ -124,12 +128,12 @@
     this->table.release(event.grant, event.service_time, now);
 }
 
-void slot_owner::on(ask_cancelled const& event, instant /*now*/)
+void slot_owner::on(slot_request_cancelled const& event, instant /*now*/)
 {
     this->queue.cancel(event.ticket);
 }
 
-void slot_owner::on(host_heard const& event, instant now)
+void slot_owner::on(heartbeat_received const& event, instant now)
 {
     this->table.renew(event.host, now + this->settings.grant_lifetime);
 }
@@ -140,14 +144,14 @@
     this->epoch = event.epoch;
     this->table.start_epoch(event.epoch);
     this->owner_until = event.until;
-    this->settled_at = now + event.settle;
-    this->reports_missing = event.hosts_to_report;
+    this->settled_at = now + event.settling_time;
+    this->pending_reports = event.hosts_to_report;
 }
 
 void slot_owner::on(ownership_renewed const& event, instant now)
 {
-    // A lease that ran out is not taken up again: another owner may have
-    // granted slots since. It takes a new epoch.
+    // An expired lease is not renewed: another owner may have granted slots
+    // since. Ownership then needs a new epoch.
     if (now < this->owner_until)
     {
         this->owner_until = std::max(this->owner_until, event.until);
@@ -163,9 +167,9 @@
         held.slot_was_free = false;
         this->table.adopt(held, now);
     }
-    if (event.complete && this->reports_missing > 0)
+    if (event.complete && this->pending_reports > 0)
     {
-        --this->reports_missing;
+        --this->pending_reports;
     }
 }
 
@@ -179,7 +183,7 @@
     this->move_waiting(now);
 }
 
-void slot_owner::on(usable_changed const& event, instant /*now*/)
+void slot_owner::on(usable_slots_changed const& event, instant /*now*/)
 {
     this->table.set_usable(event.upstream, event.usable);
 }
@@ -194,15 +198,16 @@
     slot_pool pool = this->table.pool();
     if (pool.usable == 0)
     {
-        return this->settings.admission.burst_wait;
+        return this->settings.admission.max_burst_wait;
     }
     if (this->table.free_slots() > 0 && this->queue.brief_waiting() == 0)
     {
         return duration{};
     }
-    // What was sent ahead waits too, only somewhere else.
+    // Requests sent in advance wait as well, at their upstreams.
     pool.free = 0;
-    return wait_behind(this->table.ahead(), pool.brief_time, pool.usable) +
+    return wait_behind(this->table.sent_in_advance(), pool.brief_time,
+                       pool.usable) +
            this->queue.expected_wait(flow, pool, now);
 }
 
@@ -210,7 +215,7 @@
                                                      duration time_left,
                                                      instant now) const
 {
-    if (!this->settings.moves)
+    if (!this->settings.allow_moves)
     {
         return std::nullopt;
     }
@@ -219,30 +224,31 @@
     for (std::uint32_t index = 0; index < this->zones.size(); ++index)
     {
         nearby_zone const& zone = this->zones[index];
-        bool const known =
+        bool const has_recent_load =
             zone.usable_slots > 0 &&
             now - zone.reported_at < this->settings.load_lifetime;
-        if (!known)
+        if (!has_recent_load)
         {
             continue;
         }
-        // What was moved there since its report is in front of this one.
-        duration const there =
+        // Requests moved there since its report wait before this one.
+        duration const wait_there =
             2 * zone.one_way_latency + zone.expected_wait +
             wait_behind(zone.moved_since_report, this->table.mean_time(),
                         zone.usable_slots);
-        // A distant zone only if it has room: its report is old, and when
-        // all zones fill up together each would think the other is better.
+        // A distant zone is used only if it has free capacity: its report is
+        // old, and when all zones fill up together, each would take the other
+        // for the better one.
         bool const distant = 2 * zone.one_way_latency > this->table.mean_time();
-        if (distant && there - 2 * zone.one_way_latency >
-                           this->settings.longest_distant_wait)
+        if (distant && wait_there - 2 * zone.one_way_latency >
+                           this->settings.max_distant_wait)
         {
             continue;
         }
-        if (there < shortest && there < time_left)
+        if (wait_there < shortest && wait_there < time_left)
         {
             best = index;
-            shortest = there;
+            shortest = wait_there;
         }
     }
     return best;
@@ -256,16 +262,16 @@
     {
         return false;
     }
-    slot_grant const& given =
+    slot_grant const& granted =
         this->table.grant(*upstream, request.host, request.length,
                           now + this->settings.grant_lifetime, now);
     this->effects.push_back(slot_granted{request.host, request.ticket,
-                                         *upstream, given.id, this->epoch,
+                                         *upstream, granted.id, this->epoch,
                                          this->settings.grant_lifetime});
     return true;
 }
 
-void slot_owner::serve(instant now)
+void slot_owner::grant_waiting(instant now)
 {
     if (!this->grants_slots(now))
     {
@@ -273,8 +279,8 @@
     }
     while (this->queue.size() > 0)
     {
-        // Also a slow upstream's slot may be worth it for who waits longest,
-        // and pool() counts only the fast ones as free.
+        // pool() counts only slots of fast upstreams as free, but the request
+        // that has waited longest may also gain from a slow upstream's slot.
         slot_pool pool = this->table.pool();
         pool.free = std::max(pool.free, 1U);
         waiting_request const* const request = this->queue.peek(pool);
@@ -282,29 +288,30 @@
         {
             return;
         }
-        this->queue.next(pool, now);
+        this->queue.pop(pool, now);
     }
 }
 
-void slot_owner::give_up(instant now)
+void slot_owner::refuse_expired(instant now)
 {
     slot_pool const pool = this->table.pool();
-    for (std::optional<waiting_request> late =
-             this->queue.next_expired(pool, now);
-         late.has_value(); late = this->queue.next_expired(pool, now))
+    for (std::optional<waiting_request> expired =
+             this->queue.pop_expired(pool, now);
+         expired.has_value(); expired = this->queue.pop_expired(pool, now))
     {
-        this->refuse_request(*late,
+        this->refuse_request(*expired,
                              refuse{refusal_reason::deadline_passed,
-                                    this->expected_wait(late->flow, now)});
+                                    this->expected_wait(expired->flow, now)});
     }
 }
 
-void slot_owner::give_up_all()
+void slot_owner::refuse_all_waiting()
 {
-    for (std::optional<waiting_request> left = this->queue.next_to_give_up();
-         left.has_value(); left = this->queue.next_to_give_up())
+    for (std::optional<waiting_request> request = this->queue.pop_any();
+         request.has_value(); request = this->queue.pop_any())
     {
-        this->refuse_request(*left, refuse{refusal_reason::owner_changed, {}});
+        this->refuse_request(*request,
+                             refuse{refusal_reason::owner_changed, {}});
     }
 }
 
@@ -312,16 +319,17 @@
 {
     while (this->queue.brief_waiting() > 0)
     {
-        // The last one gains most; if it does not gain, nobody does.
+        // The last request gains most from a move; if it gains nothing, none
+        // does.
         std::optional<std::uint32_t> const zone =
             this->better_zone(this->expected_wait(0, now),
-                              this->settings.admission.burst_wait, now);
+                              this->settings.admission.max_burst_wait, now);
         if (!zone.has_value())
         {
             return;
         }
         std::optional<waiting_request> const request =
-            this->queue.next_to_move();
+            this->queue.pop_last_movable();
         if (!request.has_value())
         {
             return;
@@ -337,9 +345,10 @@
 }
 
 void slot_owner::refuse_request(waiting_request const& request,
-                                refuse const& why)
+                                refuse const& refusal)
 {
-    this->effects.push_back(slot_refused{request.host, request.ticket, why});
+    this->effects.push_back(
+        slot_refused{request.host, request.ticket, refusal});
 }
 
 } // namespace bilberrylead::policy
--- a/bilberrylead/policy/upstream_placement.cpp
+++ b/bilberrylead/policy/upstream_placement.cpp
@@ -1,7 +1,7 @@
 #include "bilberrylead/policy/upstream_placement.hpp"
 
 #include "bilberrylead/policy/generator.hpp"
-#include "bilberrylead/policy/return_time.hpp"
+#include "bilberrylead/policy/retry_time.hpp"
 
 #include <algorithm>
 #include <cassert>
@@ -158,8 +158,8 @@
     {
         return *best;
     }
-    return no_free_capacity{best->wait, return_time(best->wait - tolerated_wait,
-                                                    this->settings, random)};
+    return no_free_capacity{best->wait, retry_time(best->wait - tolerated_wait,
+                                                   this->settings, random)};
 }
 
 } // namespace bilberrylead::policy
--- a/tests/unit/policy/bulk_pace_test.cpp
+++ b/tests/unit/policy/bulk_pacer_test.cpp
@@ -1,4 +1,4 @@
-#include "bilberrylead/policy/bulk_pace.hpp"
+#include "bilberrylead/policy/bulk_pacer.hpp"
 
 #include <criterion/criterion.h>
 
@@ -7,7 +7,7 @@
 
 using namespace bilberrylead;
 using namespace std::chrono_literals;
-using policy::bulk_pace;
+using policy::bulk_pacer;
 
 namespace
 {
@@ -18,11 +18,11 @@
 
 } // namespace
 
-// A caller's look-up waits behind 90 KB of somebody else's download: the
-// download's pieces are spread over the time the link needs for them.
-Test(bulk_pace, pieces_of_a_long_answer_are_spread_over_the_links_time)
+// Guards against a look-up that waits behind 90 KB of another caller's
+// download: the pieces are spread over the time that the link needs for them.
+Test(bulk_pacer, long_answer_is_paced_at_the_link_rate)
 {
-    bulk_pace pace(six_mbit);
+    bulk_pacer pace(six_mbit);
     duration waited{};
     std::size_t passed = 0;
     instant now = start;
@@ -37,9 +37,9 @@
     cr_expect_lt(waited, 160ms);
 }
 
-Test(bulk_pace, short_answer_never_waits)
+Test(bulk_pacer, short_answer_never_waits)
 {
-    bulk_pace pace(six_mbit);
+    bulk_pacer pace(six_mbit);
     for (std::size_t passed = 0; passed < 20 * piece; passed += piece)
     {
         pace.reserve(passed, piece, start);
@@ -47,9 +47,9 @@
     cr_expect_eq(pace.reserve(0, 1500, start), duration::zero());
 }
 
-Test(bulk_pace, short_answers_delay_long_ones)
+Test(bulk_pacer, short_answers_delay_long_ones)
 {
-    bulk_pace pace(six_mbit);
+    bulk_pacer pace(six_mbit);
     for (int answer = 0; answer < 50; ++answer)
     {
         cr_expect_eq(pace.reserve(0, 1500, start), duration::zero());
@@ -57,10 +57,11 @@
     cr_expect_gt(pace.reserve(piece, piece, start), 100ms);
 }
 
-// A download must not be taken for dead, however many there are.
-Test(bulk_pace, no_piece_waits_longer_than_the_limit)
+// Guards against a download that stalls so long that it is taken for a broken
+// connection, however many there are.
+Test(bulk_pacer, no_piece_waits_longer_than_the_max_wait)
 {
-    bulk_pace pace(six_mbit);
+    bulk_pacer pace(six_mbit);
     duration longest{};
     for (int answer = 0; answer < 200; ++answer)
     {
@@ -69,11 +70,12 @@
     cr_expect_leq(longest, 250ms);
 }
 
-// A crowd of downloads is over and the link idle: a later one must not wait
-// for what the crowd took beyond the pace.
-Test(bulk_pace, crowd_that_is_over_delays_nobody)
+// Guards against a debt that outlasts its downloads: many downloads are over
+// and the link is idle, so a later one must not wait for the bytes that they
+// sent beyond the pace.
+Test(bulk_pacer, finished_downloads_do_not_delay_later_ones)
 {
-    bulk_pace pace(six_mbit);
+    bulk_pacer pace(six_mbit);
     for (int answer = 0; answer < 200; ++answer)
     {
         pace.reserve(piece, piece, start);
@@ -81,9 +83,9 @@
     cr_expect_eq(pace.reserve(piece, piece, start + 300ms), duration::zero());
 }
 
-Test(bulk_pace, link_that_is_not_known_paces_nothing)
+Test(bulk_pacer, unknown_link_rate_disables_pacing)
 {
-    bulk_pace pace(0);
+    bulk_pacer pace(0);
     for (int answer = 0; answer < 50; ++answer)
     {
         cr_expect_eq(pace.reserve(piece, piece, start), duration::zero());
--- a/tests/unit/policy/crash_history_test.cpp
+++ b/tests/unit/policy/crash_history_test.cpp
@@ -24,13 +24,13 @@
     return upstream_id(name);
 }
 
-/// A history in which upstreams ended under one request.
+/// A history in which these upstreams ended while they ran one request.
 crash_history history_of(std::vector<char const*> const& ended)
 {
     crash_history history;
     for (char const* const name : ended)
     {
-        history.note_crash(request, upstream(name), start);
+        history.record_crash(request, upstream(name), start);
     }
     return history;
 }
@@ -49,7 +49,7 @@
               crash_verdict::refused);
 }
 
-// Guards against one crash that is counted as often as hosts saw it.
+// Guards against counting one crash once for each host that observed it.
 Test(crash_history, one_upstream_counts_once)
 {
     crash_history history = history_of({"a", "a", "a"});
@@ -57,43 +57,43 @@
     cr_expect(history.verdict_of(request) == crash_verdict::unrestricted);
 }
 
-// Guards against innocent requests that are refused since they ran beside
+// Guards against refusing harmless requests because they ran concurrently with
 // one that crashes upstreams.
-Test(crash_history, whole_answer_clears_on_all_hosts)
+Test(crash_history, complete_answer_clears_on_all_hosts)
 {
     crash_history here = history_of({"a", "b"});
     crash_history there = history_of({"a", "b"});
     std::optional<crash_record> const cleared = here.clear(request, start);
     cr_assert(cleared.has_value());
     there.merge({*cleared}, start);
-    // What was said before the answer comes late.
+    // A record from before the answer arrives late.
     there.merge({{request, 0, {upstream("c")}}}, start);
     cr_expect(there.verdict_of(request) == crash_verdict::unrestricted);
     cr_expect(!here.clear(request, start).has_value());
 }
 
-Test(crash_history, merged_histories_agree_whatever_the_order)
+Test(crash_history, merged_histories_agree_in_any_order)
 {
     crash_history one = history_of({"a", "d"});
     crash_history other = history_of({"b", "c"});
-    crash_merge const merged = other.merge(one.all(), start);
-    cr_assert_eq(merged.missing_there.size(), 1U);
-    one.merge(merged.missing_there, start);
-    cr_expect(one.all() == other.all());
+    crash_merge const merged = other.merge(one.records(), start);
+    cr_assert_eq(merged.missing_at_sender.size(), 1U);
+    one.merge(merged.missing_at_sender, start);
+    cr_expect(one.records() == other.records());
     cr_expect(one.verdict_of(request) == crash_verdict::refused);
-    // Nothing more to tell: messages end.
-    cr_expect(one.merge(other.all(), start).learned.empty());
-    cr_expect(one.merge(other.all(), start).missing_there.empty());
+    // No differences are left, so the exchange of messages ends.
+    cr_expect(one.merge(other.records(), start).changed.empty());
+    cr_expect(one.merge(other.records(), start).missing_at_sender.empty());
 }
 
-Test(crash_history, refused_request_is_kept_while_it_comes_again)
+Test(crash_history, refused_request_is_kept_while_it_repeats)
 {
     crash_history history = history_of({"a", "b", "c"});
     instant now = start;
     for (int hour = 0; hour < 4; ++hour)
     {
         now += 20min;
-        history.note_repeat(request, now);
+        history.record_repeat(request, now);
         history.expire(now);
         cr_expect(history.verdict_of(request) == crash_verdict::refused);
     }
@@ -101,26 +101,26 @@
     cr_expect_eq(history.size(), 0U);
 }
 
-// Guards against a caller whose many requests push out the one that crashes
-// upstreams, and against hosts that hand evicted records round for ever.
-Test(crash_history, full_history_keeps_what_is_refused)
+// Guards against a caller whose many requests evict the one that crashes
+// upstreams, and against hosts that exchange evicted records for ever.
+Test(crash_history, full_history_keeps_refused_requests)
 {
     policy::crash_history_settings settings;
-    settings.most_records = 4;
+    settings.max_records = 4;
     crash_history history(settings);
     for (char const* const name : {"a", "b", "c"})
     {
-        history.note_crash(request, upstream(name), start);
+        history.record_crash(request, upstream(name), start);
     }
     for (std::uint64_t other = 100; other < 200; ++other)
     {
-        history.note_crash(other, upstream("a"), start + 1s);
+        history.record_crash(other, upstream("a"), start + 1s);
     }
     cr_expect_eq(history.size(), 4U);
-    cr_expect_eq(history.evicted(), 97U);
+    cr_expect_eq(history.evicted_count(), 97U);
     cr_expect(history.verdict_of(request) == crash_verdict::refused);
     crash_merge const merged =
         history.merge({{300, 0, {upstream("a")}}}, start + 2s);
-    cr_expect(merged.learned.empty());
+    cr_expect(merged.changed.empty());
     cr_expect_eq(history.size(), 4U);
 }
