--- a/bilberrylead/daemon/entry_program.cpp
+++ b/bilberrylead/daemon/entry_program.cpp
@@ -99,7 +99,7 @@
     wanted.own_pages = this->settings.readiness_listen.port == 0;
     wanted.entry.region = this->settings.region;
     wanted.entry.places = this->settings.places;
-    wanted.entry.region_latency = this->settings.region_latency;
+    wanted.entry.default_region_latency = this->settings.region_latency;
     wanted.entry.upstreams_are_listed = !this->settings.seeds.empty();
     wanted.entry.waiting = this->settings.waiting;
     wanted.entry.retries = this->settings.retries;
@@ -249,13 +249,13 @@
         this->on_claims(once_client::unknown_wanted{
             static_cast<local_request>(unknown->request), unknown->key});
     }
-    else if (entry::tell_crash_records const* const crashes =
-                 std::get_if<entry::tell_crash_records>(&wanted))
+    else if (entry::send_crash_records const* const crashes =
+                 std::get_if<entry::send_crash_records>(&wanted))
     {
         this->tell_crashes(*crashes);
     }
-    else if (entry::tell_limits const* const limits =
-                 std::get_if<entry::tell_limits>(&wanted))
+    else if (entry::send_limits const* const limits =
+                 std::get_if<entry::send_limits>(&wanted))
     {
         this->tell_limits(*limits);
     }
--- a/bilberrylead/daemon/entry_program_parts.hpp
+++ b/bilberrylead/daemon/entry_program_parts.hpp
@@ -56,8 +56,8 @@
     void on_listing(link::link_number number,
                     link::upstream_update const& said);
     void on_plan(link::region_plan const& said);
-    void tell_crashes(entry::tell_crash_records const& wanted);
-    void tell_limits(entry::tell_limits const& wanted);
+    void tell_crashes(entry::send_crash_records const& wanted);
+    void tell_limits(entry::send_limits const& wanted);
     void start_heartbeats();
     void send_heartbeats_after(duration pause);
     void tell_presence(link::link_number to);
--- a/bilberrylead/daemon/entry_program_peers.cpp
+++ b/bilberrylead/daemon/entry_program_peers.cpp
@@ -147,7 +147,7 @@
         void operator()(link::crash_report const& held) const
         {
             this->owner.server->dispatch(
-                entry::crash_records_heard{this->number, held.records});
+                entry::crash_records_received{this->number, held.records});
         }
 
         void operator()(link::limit_notice const& held) const
@@ -155,7 +155,7 @@
             if (held.sender != this->owner.settings.id)
             {
                 this->owner.server->dispatch(
-                    entry::limits_heard{held.sender, held.reports});
+                    entry::limits_received{held.sender, held.reports});
             }
         }
 
@@ -231,11 +231,12 @@
     for (auto const& [link, heard] : this->heard_entry_hosts)
     {
         most.hosts = std::max(most.hosts, heard.hosts);
-        most.in_a_region = std::max(most.in_a_region, heard.in_a_region);
+        most.max_per_region =
+            std::max(most.max_per_region, heard.max_per_region);
     }
     most.hosts = this->most_entry_hosts.note(most.hosts, clock_now());
-    most.in_a_region =
-        this->most_in_a_region.note(most.in_a_region, clock_now());
+    most.max_per_region =
+        this->most_in_a_region.note(most.max_per_region, clock_now());
     this->server->dispatch(most);
 }
 
@@ -285,7 +286,7 @@
 }
 
 void entry_program::implementation::tell_crashes(
-    entry::tell_crash_records const& wanted)
+    entry::send_crash_records const& wanted)
 {
     link::crash_report const report{wanted.records};
     for (auto const& [number, peer] : this->links)
@@ -299,7 +300,7 @@
 
 /// One control host passes it on; neighbours hear it directly.
 void entry_program::implementation::tell_limits(
-    entry::tell_limits const& wanted)
+    entry::send_limits const& wanted)
 {
     link::limit_notice const notice{this->settings.id, wanted.reports};
     bool told_control = false;
--- a/bilberrylead/entry/body_rules.hpp
+++ b/bilberrylead/entry/body_rules.hpp
@@ -10,11 +10,11 @@
 struct body_rules
 {
     /// False if nothing serves such a request: its body is not read.
-    bool known = false;
+    bool is_served = false;
     /// Largest body that is taken, bytes.
-    std::size_t largest = 0;
+    std::size_t max_bytes = 0;
     /// True if the whole body must be here first, for its digest.
-    bool keep_whole = false;
+    bool buffer_body = false;
 };
 
 } // namespace bilberrylead::entry
--- a/bilberrylead/entry/drain_life_cycle.cpp
+++ b/bilberrylead/entry/drain_life_cycle.cpp
@@ -68,9 +68,10 @@
 {
 };
 
-drain_life_cycle::drain_life_cycle() : cycle(std::make_unique<machine>())
+drain_life_cycle::drain_life_cycle()
+    : state_machine(std::make_unique<machine>())
 {
-    this->cycle->start();
+    this->state_machine->start();
 }
 
 drain_life_cycle::~drain_life_cycle() = default;
@@ -78,24 +79,24 @@
 drain_state drain_life_cycle::current() const
 {
     return state_of_number.at(
-        static_cast<std::size_t>(this->cycle->current_state()[0]));
+        static_cast<std::size_t>(this->state_machine->current_state()[0]));
 }
 
 bool drain_life_cycle::begin()
 {
-    return this->cycle->process_event(begin_step{}) ==
+    return this->state_machine->process_event(begin_step{}) ==
            boost::msm::back::HANDLED_TRUE;
 }
 
 bool drain_life_cycle::expire_answers()
 {
-    return this->cycle->process_event(expire_step{}) ==
+    return this->state_machine->process_event(expire_step{}) ==
            boost::msm::back::HANDLED_TRUE;
 }
 
 bool drain_life_cycle::end()
 {
-    return this->cycle->process_event(end_step{}) ==
+    return this->state_machine->process_event(end_step{}) ==
            boost::msm::back::HANDLED_TRUE;
 }
 
--- a/bilberrylead/entry/drain_life_cycle.hpp
+++ b/bilberrylead/entry/drain_life_cycle.hpp
@@ -32,7 +32,7 @@
 
 private:
     class machine;
-    std::unique_ptr<machine> cycle;
+    std::unique_ptr<machine> state_machine;
 };
 
 } // namespace bilberrylead::entry
--- a/bilberrylead/entry/effect.hpp
+++ b/bilberrylead/entry/effect.hpp
@@ -42,11 +42,11 @@
     bool run_once = false;
     /// True after a failed try: the old connections may all have gone
     /// silent, so only a new one may carry it.
-    bool fresh = false;
+    bool new_connection_only = false;
 };
 
 /// Stream the upstream's answer to the caller as it comes.
-struct pass_answer_on
+struct stream_answer
 {
     /// The request.
     request_number request{};
@@ -160,7 +160,7 @@
 };
 
 /// From now on every answer ends its connection.
-struct close_callers_after_answer
+struct close_connections_after_answer
 {
 };
 
@@ -200,7 +200,7 @@
     /// Time from its arrival to its end here.
     duration took{};
     /// Time from its last sending to the answer's head; zero if none came.
-    duration answered_after{};
+    duration time_to_head{};
 };
 
 /// See whether an upstream takes connections; upstream_probed follows.
@@ -214,7 +214,7 @@
 
 /// Connections to an upstream were lost, and it is known now whether it
 /// ended. For the log.
-struct loss_settled
+struct connection_loss_resolved
 {
     /// The upstream.
     upstream_id upstream;
@@ -230,7 +230,7 @@
     /// Requests a second from all entry hosts; nothing: no limit any more.
     std::optional<double> per_second;
     /// True if another host told it.
-    bool heard = false;
+    bool from_peer = false;
 };
 
 /// The record of a request under which upstreams ended has changed. For the
@@ -242,11 +242,11 @@
     /// What follows from it.
     policy::crash_verdict verdict{};
     /// True if another host told it.
-    bool heard = false;
+    bool from_peer = false;
 };
 
 /// Tell other hosts what is known of requests under which upstreams ended.
-struct tell_crash_records
+struct send_crash_records
 {
     /// The records.
     std::vector<policy::crash_record> records;
@@ -255,7 +255,7 @@
 };
 
 /// Tell the other entry hosts what was sent to upstreams that name a limit.
-struct tell_limits
+struct send_limits
 {
     /// An entry for each upstream to which something has changed.
     std::vector<policy::limit_report> reports;
@@ -263,7 +263,7 @@
 
 /// Take no new connections of callers from now on, and close those that
 /// are idle.
-struct stop_taking_callers
+struct stop_accepting_connections
 {
 };
 
@@ -274,15 +274,14 @@
 };
 
 /// Everything an entry host can be told to do.
-using effect =
-    std::variant<start_upstream, pass_answer_on, collect_answer,
-                 answer_collected, answer_not_run, answer_unknown,
-                 answer_recorded, answer_problem, request_claim,
-                 report_completion, report_release, report_unknown,
-                 cancel_upstream, close_callers_after_answer,
-                 stop_taking_callers, request_ended, drained, probe_upstream,
-                 loss_settled, upstream_limit_changed, crash_record_changed,
-                 tell_crash_records, tell_limits>;
+using effect = std::variant<
+    start_upstream, stream_answer, collect_answer, answer_collected,
+    answer_not_run, answer_unknown, answer_recorded, answer_problem,
+    request_claim, report_completion, report_release, report_unknown,
+    cancel_upstream, close_connections_after_answer, stop_accepting_connections,
+    request_ended, drained, probe_upstream, connection_loss_resolved,
+    upstream_limit_changed, crash_record_changed, send_crash_records,
+    send_limits>;
 
 /// Effects in the order in which they are to be carried out.
 using effects = std::vector<effect>;
--- a/bilberrylead/entry/entry_reducer.cpp
+++ b/bilberrylead/entry/entry_reducer.cpp
@@ -15,39 +15,40 @@
 constexpr std::uint16_t status_bad_request = 400;
 constexpr std::uint16_t status_not_found = 404;
 /// What a share is counted in.
-constexpr std::int64_t full_share = 1000;
+constexpr std::int64_t per_mille = 1000;
 /// Share of the time to stop, in thousandths, in which callers are still
 /// taken: most of them have a new steering answer by then, and the rest is
 /// longer than a request lasts.
-constexpr std::int64_t stop_share_for_taking = 450;
+constexpr std::int64_t accepting_share_of_stop = 450;
 
 } // namespace
 
 entry_reducer::entry_reducer(entry_settings settings, process_seed const& seed)
-    : chosen(std::move(settings)), draws(seed.of(random_sequence::route_split)),
+    : host_settings(std::move(settings)),
+      split_random(seed.of(random_sequence::route_split)),
       placement_seed(seed.of(random_sequence::placement))
 {
 }
 
-effects entry_reducer::reduce(event const& happened, instant time)
+effects entry_reducer::reduce(event const& event, instant time)
 {
     // The clock of events never runs backwards, whatever the caller does.
     this->now = std::max(this->now, time);
-    this->out.clear();
+    this->pending_effects.clear();
     std::visit(
         [this](auto const& each)
         {
             this->on(each);
         },
-        happened);
-    this->serve_freed();
-    return std::move(this->out);
+        event);
+    this->dispatch_services();
+    return std::move(this->pending_effects);
 }
 
 bool entry_reducer::ready() const
 {
-    bool const has_upstreams =
-        !this->chosen.upstreams_are_listed || this->listed != nullptr;
+    bool const has_upstreams = !this->host_settings.upstreams_are_listed ||
+                               this->upstream_list != nullptr;
     return this->routing != nullptr && has_upstreams && !this->draining();
 }
 
@@ -58,108 +59,112 @@
 
 entry_counters const& entry_reducer::counters()
 {
-    this->counted.slots_in_use = 0;
-    this->counted.waiting = 0;
-    for (auto const& [service, state] : this->states)
+    this->current_counters.slots_in_use = 0;
+    this->current_counters.waiting = 0;
+    for (auto const& [service, state] : this->service_states)
     {
-        this->counted.slots_in_use += state.in_use();
-        this->counted.waiting += state.waiting();
+        this->current_counters.slots_in_use += state.in_use();
+        this->current_counters.waiting += state.waiting();
     }
-    return this->counted;
+    return this->current_counters;
 }
 
 service_state& entry_reducer::state_of(service_id const& service)
 {
-    auto const found = this->states.find(service);
-    if (found != this->states.end())
+    auto const found = this->service_states.find(service);
+    if (found != this->service_states.end())
     {
         return found->second;
     }
-    config::service const* known = this->find_service(service);
-    return this->states
-        .try_emplace(
-            service,
-            known == nullptr ? config::work_length::brief : known->length,
-            this->placement_seed + this->states.size(), this->chosen.placement)
+    config::service const* configured = this->find_service(service);
+    return this->service_states
+        .try_emplace(service,
+                     configured == nullptr ? config::work_length::brief
+                                           : configured->length,
+                     this->placement_seed + this->service_states.size(),
+                     this->host_settings.placement)
         .first->second;
 }
 
-void entry_reducer::on(request_arrived const& happened)
+void entry_reducer::on(request_arrived const& event)
 {
-    this->last_work = this->now;
+    this->last_activity = this->now;
     if (this->routing == nullptr)
     {
-        this->refuse_arrival(happened, refusal_reason::not_ready);
+        this->refuse_arrival(event, refusal_reason::not_ready);
         return;
     }
     live_request request;
-    request.number = happened.request;
-    request.arrived = this->now;
+    request.number = event.request;
+    request.arrived_at = this->now;
     request.routed_by = this->revision;
-    bool filled = false;
+    bool is_routed = false;
     if (this->routing->has_routes())
     {
         config::request_route const* const route =
-            this->routing->find_route(happened.host, happened.path);
-        filled = route != nullptr &&
-                 this->fill_from_route(request, *route, happened);
+            this->routing->find_route(event.host, event.path);
+        is_routed =
+            route != nullptr && this->fill_from_route(request, *route, event);
     }
     else
     {
-        filled = this->fill_from_service(request, happened);
+        is_routed = this->fill_from_service(request, event);
     }
-    if (!filled)
+    if (!is_routed)
     {
-        this->problem(happened.request, {}, status_not_found,
-                      refusal_reason::unknown_service, duration::zero());
+        this->answer_with_problem(event.request, {}, status_not_found,
+                                  refusal_reason::unknown_service,
+                                  duration::zero());
         return;
     }
-    if (request.guarded && happened.idempotency_key.empty())
+    if (request.guarded && event.idempotency_key.empty())
     {
-        this->problem(happened.request, request.service, status_bad_request,
-                      refusal_reason::key_missing, duration::zero());
+        this->answer_with_problem(
+            event.request, request.service, status_bad_request,
+            refusal_reason::key_missing, duration::zero());
         return;
     }
-    instant const asked = happened.time_left.has_value()
-                              ? this->now + *happened.time_left
-                              : request.deadline;
+    instant const requested_deadline = event.time_left.has_value()
+                                           ? this->now + *event.time_left
+                                           : request.deadline;
     // A service's deadline is for callers that name none; a route's timeout
     // bounds every caller.
-    request.deadline =
-        this->routing->has_routes() ? std::min(asked, request.deadline) : asked;
+    request.deadline = this->routing->has_routes()
+                           ? std::min(requested_deadline, request.deadline)
+                           : requested_deadline;
     if (request.deadline <= this->now)
     {
-        this->refuse_arrival(happened, refusal_reason::deadline);
+        this->refuse_arrival(event, refusal_reason::deadline);
         return;
     }
-    request.digest = happened.digest;
-    request.body_kept = happened.body_kept;
-    request.maybe_ran_before = happened.repeated;
-    request.caller = happened.caller;
-    request.caller_address = happened.caller_address;
+    request.digest = event.digest;
+    request.body_kept = event.body_kept;
+    request.earlier_may_have_run = event.repeated;
+    request.caller = event.caller;
+    request.caller_address = event.caller_address;
     request.flow =
-        static_cast<std::uint32_t>(std::hash<caller_id>{}(happened.caller));
+        static_cast<std::uint32_t>(std::hash<caller_id>{}(event.caller));
     if (request.guarded)
     {
-        request.claim = {request.service, happened.caller,
-                         happened.idempotency_key};
+        request.claim = {request.service, event.caller, event.idempotency_key};
     }
     this->admit(std::move(request));
-    live_request* admitted = this->find(happened.request);
+    live_request* admitted = this->find(event.request);
     if (admitted != nullptr &&
-        admitted->life.current() == request_state::claiming)
+        admitted->life_cycle.current() == request_state::claiming)
     {
-        this->out.push_back(request_claim{admitted->number, admitted->claim,
-                                          happened.body_digest});
+        this->pending_effects.push_back(request_claim{
+            admitted->number, admitted->claim, event.body_digest});
     }
 }
 
 void entry_reducer::admit(live_request arrived)
 {
     live_request& request =
-        this->live.emplace(arrived.number, std::move(arrived)).first->second;
-    this->find_reach(request);
-    this->set_wake(request, request.deadline);
+        this->live_requests.emplace(arrived.number, std::move(arrived))
+            .first->second;
+    this->update_reach(request);
+    this->set_timer(request, request.deadline);
     if (!request.guarded)
     {
         this->place(request);
@@ -167,34 +172,35 @@
     }
     // What would be turned away anyway is turned away before its claim
     // costs a quorum round trip.
-    if (!this->state_of(request.service).takes_work(request.reached, this->now))
+    if (!this->state_of(request.service)
+             .accepts_work(request.reachable, this->now))
     {
         this->refuse(request, refusal_reason::no_upstream);
         return;
     }
-    if (!this->claim_is_worth_it(request))
+    if (!this->can_meet_deadline(request))
     {
         this->refuse(request, refusal_reason::no_room);
         return;
     }
-    if (!this->control_answers)
+    if (!this->control_is_reachable)
     {
         this->refuse(request, refusal_reason::claim_refused);
         return;
     }
-    request.life.claim();
+    request.life_cycle.claim();
 }
 
-bool entry_reducer::claim_is_worth_it(live_request const& request)
+bool entry_reducer::can_meet_deadline(live_request const& request)
 {
     service_state& state = this->state_of(request.service);
     duration const wait =
-        state.expected_wait(request.flow, request.reached, this->now);
+        state.expected_wait(request.flow, request.reachable, this->now);
     return wait == duration::zero() ||
            this->now + wait + state.usual_answer() <= request.deadline;
 }
 
-void entry_reducer::serve_waiting(service_state& state)
+void entry_reducer::dispatch_waiting(service_state& state)
 {
     while (std::optional<std::uint64_t> const ticket = state.next(this->now))
     {
@@ -211,60 +217,63 @@
     {
         live_request* late = this->find(static_cast<request_number>(*ticket));
         assert(late != nullptr);
-        late->life.pause();
+        late->life_cycle.pause();
         this->refuse(*late, refusal_reason::deadline);
     }
 }
 
-void entry_reducer::serve_freed()
+void entry_reducer::dispatch_services()
 {
     // Last in every event and not where a slot is freed: a refusal within
     // may free another one while its service's queue is being walked.
-    while (!this->freed.empty())
+    while (!this->services_to_dispatch.empty())
     {
         service_id const service =
-            this->freed.extract(this->freed.begin()).value();
-        this->serve_waiting(this->state_of(service));
+            this->services_to_dispatch
+                .extract(this->services_to_dispatch.begin())
+                .value();
+        this->dispatch_waiting(this->state_of(service));
     }
 }
 
-void entry_reducer::on(load_reported const& happened)
+void entry_reducer::on(load_reported const& event)
 {
-    for (auto& [service, state] : this->states)
+    for (auto& [service, state] : this->service_states)
     {
-        if (!state.has(happened.upstream))
+        if (!state.has_record(event.upstream))
         {
             continue;
         }
-        state.note_report(happened.upstream, happened.slots_in_use, this->now);
-        if (happened.leaving)
+        state.record_load_report(event.upstream, event.slots_in_use, this->now);
+        if (event.leaving)
         {
-            state.note_leaving(happened.upstream,
-                               this->now + this->chosen.leaving_memory);
+            state.record_leaving(event.upstream,
+                                 this->now +
+                                     this->host_settings.leaving_retention);
         }
     }
 }
 
-void entry_reducer::on(control_reachable const& /*happened*/)
+void entry_reducer::on(control_reachable const& /*event*/)
 {
-    this->control_answers = true;
+    this->control_is_reachable = true;
 }
 
-void entry_reducer::on(control_unreachable const& /*happened*/)
+void entry_reducer::on(control_unreachable const& /*event*/)
 {
-    this->control_answers = false;
+    this->control_is_reachable = false;
 }
 
-void entry_reducer::on(drain_requested const& /*happened*/)
+void entry_reducer::on(drain_requested const& /*event*/)
 {
     if (this->drain.begin())
     {
-        this->drain_began = this->now;
-        this->out.push_back(close_callers_after_answer{});
+        this->drain_started_at = this->now;
+        this->pending_effects.push_back(close_connections_after_answer{});
     }
 }
 
-void entry_reducer::look_for_drain_end()
+void entry_reducer::check_drain_progress()
 {
     if (!this->draining())
     {
@@ -272,24 +281,27 @@
     }
     // Callers may hold a steering answer that names this host until it
     // expires, so requests are taken until then and a little longer.
-    duration const taking =
-        this->chosen.steering_ttl + this->chosen.drain_quiet;
-    bool const is_bounded = this->chosen.stop_time > duration::zero();
-    duration const bounded =
-        this->chosen.stop_time / full_share * stop_share_for_taking;
-    if (this->now >= this->drain_began +
-                         (is_bounded ? std::min(taking, bounded) : taking) &&
+    duration const accept_time =
+        this->host_settings.steering_ttl + this->host_settings.drain_quiet;
+    bool const is_bounded = this->host_settings.stop_time > duration::zero();
+    duration const bounded_accept_time =
+        this->host_settings.stop_time / per_mille * accepting_share_of_stop;
+    if (this->now >= this->drain_started_at +
+                         (is_bounded
+                              ? std::min(accept_time, bounded_accept_time)
+                              : accept_time) &&
         this->drain.expire_answers() && is_bounded)
     {
         // Whoever comes now would not be served to the end in time; a
         // refused connection sends it elsewhere at once.
-        this->out.push_back(stop_taking_callers{});
+        this->pending_effects.push_back(stop_accepting_connections{});
     }
-    bool const quiet =
-        is_bounded || this->now >= this->last_work + this->chosen.drain_quiet;
-    if (quiet && this->live.empty() && this->drain.end())
+    bool const is_quiet =
+        is_bounded ||
+        this->now >= this->last_activity + this->host_settings.drain_quiet;
+    if (is_quiet && this->live_requests.empty() && this->drain.end())
     {
-        this->out.push_back(drained{});
+        this->pending_effects.push_back(drained{});
     }
 }
 
--- a/bilberrylead/entry/entry_reducer.hpp
+++ b/bilberrylead/entry/entry_reducer.hpp
@@ -38,10 +38,10 @@
 {
 public:
     /// Makes an entry host that has no configuration yet.
-    entry_reducer(entry_settings chosen, process_seed const& seed);
+    entry_reducer(entry_settings settings, process_seed const& seed);
 
     /// Takes one event and says what has to be done, in that order.
-    effects reduce(event const& happened, instant now);
+    effects reduce(event const& event, instant now);
 
     /// True once a configuration is in force and until a drain begins.
     bool ready() const;
@@ -63,13 +63,13 @@
 
     /// What is done with the body of a request; `service` is the first
     /// segment of its path, for configurations without routes.
-    body_rules rules_for_body(service_id const& service,
+    body_rules body_rules_for(service_id const& service,
                               std::string const& host,
                               std::string_view path) const;
 
     /// What callers may send, if the configuration in force says so; null if
     /// it leaves that to the settings.
-    config::caller_limits const* limits() const;
+    config::caller_limits const* caller_limits() const;
 
     /// What callers ask of each service now, in slots.
     std::map<service_id, double> demands() const;
@@ -87,15 +87,15 @@
     }
 
     /// Requests that have not come to their end.
-    std::size_t under_way() const
+    std::size_t requests_in_progress() const
     {
-        return this->live.size();
+        return this->live_requests.size();
     }
 
     /// True until the request has come to its end here.
-    bool knows(request_number number) const
+    bool contains(request_number number) const
     {
-        return this->live.contains(number);
+        return this->live_requests.contains(number);
     }
 
     /// Requests under which upstreams ended, as known here.
@@ -110,134 +110,135 @@
     /// What it was made with.
     entry_settings const& settings() const
     {
-        return this->chosen;
+        return this->host_settings;
     }
 
 private:
-    using wake_entry = std::pair<instant, request_number>;
-
-    void on(configuration_received const& happened);
-    void on(request_arrived const& happened);
-    void on(claim_answered const& happened);
-    void on(completion_stored const& happened);
-    void on(upstream_head_received const& happened);
-    void on(upstream_answer_finished const& happened);
-    void on(upstream_failed const& happened);
-    void on(caller_gone const& happened);
-    void on(load_reported const& happened);
-    void on(tick const& happened);
-    void on(drain_requested const& happened);
-    void on(control_reachable const& happened);
-    void on(control_unreachable const& happened);
-    void on(upstreams_listed const& happened);
-    void on(entry_hosts_counted const& happened);
-    void on(regions_planned const& happened);
-    void on(upstream_probed const& happened);
-    void on(crash_records_heard const& happened);
-    void on(limits_heard const& happened);
+    using timer_entry = std::pair<instant, request_number>;
+
+    void on(configuration_received const& event);
+    void on(request_arrived const& event);
+    void on(claim_answered const& event);
+    void on(completion_stored const& event);
+    void on(upstream_head_received const& event);
+    void on(upstream_answer_finished const& event);
+    void on(upstream_failed const& event);
+    void on(caller_gone const& event);
+    void on(load_reported const& event);
+    void on(tick const& event);
+    void on(drain_requested const& event);
+    void on(control_reachable const& event);
+    void on(control_unreachable const& event);
+    void on(upstreams_listed const& event);
+    void on(entry_hosts_counted const& event);
+    void on(regions_planned const& event);
+    void on(upstream_probed const& event);
+    void on(crash_records_received const& event);
+    void on(limits_received const& event);
 
     live_request* find(request_number number);
     void admit(live_request request);
     void rebuild();
-    void note_opened(zone_id const& zone);
+    void record_zone_opened(zone_id const& zone);
     region_id own_region() const;
-    void set_shares();
-    void follow_plan();
-    std::uint32_t number_of(region_id const& region);
+    void update_host_shares();
+    void apply_region_plan();
+    std::uint32_t region_number_of(region_id const& region);
     std::vector<policy::region_target>
-    named_regions(std::vector<double> const& shares) const;
-    region_id name_of(std::optional<std::uint32_t> region) const;
+    region_targets(std::vector<double> const& shares) const;
+    region_id region_name_of(std::optional<std::uint32_t> region) const;
     bool fill_from_route(live_request& request,
                          config::request_route const& route,
-                         request_arrived const& happened);
-    bool fill_from_service(live_request& request,
-                           request_arrived const& happened);
+                         request_arrived const& event);
+    bool fill_from_service(live_request& request, request_arrived const& event);
     void place(live_request& request);
     void place_at_upstream(live_request& request);
-    policy::placement_verdict find_place(live_request& request,
-                                         std::uint32_t region);
+    policy::placement_verdict find_placement(live_request& request,
+                                             std::uint32_t region);
     void start(live_request& request);
     void start_at(live_request& request, config::upstream const& upstream);
-    bool is_last_try(live_request const& request) const;
+    bool is_last_attempt(live_request const& request) const;
     bool retry_failed_answer(live_request& request);
-    void try_again(live_request& request, refusal_reason reason,
-                   bool body_usable);
-    std::optional<duration> ask_for_try(live_request& request,
-                                        bool body_usable);
-    void answer_verdict(live_request& request,
-                        once::claim_verdict const& verdict);
-    void serve_waiting(service_state& state);
-    void serve_freed();
-    void place_again();
+    void retry_or_end(live_request& request, refusal_reason reason,
+                      bool body_usable);
+    std::optional<duration> acquire_retry(live_request& request,
+                                          bool body_usable);
+    void answer_claim_verdict(live_request& request,
+                              once::claim_verdict const& verdict);
+    void dispatch_waiting(service_state& state);
+    void dispatch_services();
+    void reconfigure_services();
     void refuse_expired(service_state& state);
-    bool claim_is_worth_it(live_request const& request);
-    void find_reach(live_request& request) const;
+    bool can_meet_deadline(live_request const& request);
+    void update_reach(live_request& request) const;
     service_state& state_of(service_id const& service);
-    policy::waiting_request waiting_form(live_request const& request) const;
-    void note_failure(live_request const& request);
-    void note_run(live_request const& request);
-    void note_loss(live_request const& request);
-    void note_limit(live_request const& request,
-                    upstream_head_received const& head);
+    policy::waiting_request
+    to_waiting_request(live_request const& request) const;
+    void record_failure(live_request const& request);
+    void record_run(live_request const& request);
+    void record_loss(live_request const& request);
+    void record_limit(live_request const& request,
+                      upstream_head_received const& head);
     void report_limits();
     void refuse_unplaced(live_request& request);
-    void note_whole_answer(live_request const& request);
-    void note_end(upstream_id const& upstream);
-    void note_crash(std::uint64_t digest, upstream_id const& upstream);
-    void find_ended();
-    void tell_own_record(policy::crash_record const& record);
+    void record_complete_answer(live_request const& request);
+    void record_upstream_end(upstream_id const& upstream);
+    void record_crash(std::uint64_t digest, upstream_id const& upstream);
+    void find_ended_upstreams();
+    void publish_crash_record(policy::crash_record const& record);
     void refuse_crashing(std::uint64_t digest);
     std::optional<duration> crash_refusal(live_request const& request) const;
-    void set_wake(live_request& request, instant when);
+    void set_timer(live_request& request, instant when);
     void expire(live_request& request);
     void expire_run(live_request& request);
-    void free_slot(live_request const& request);
+    void release_slot(live_request const& request);
 
     void refuse(live_request& request, refusal_reason reason);
     void refuse(live_request& request, refusal_reason reason,
                 duration retry_after);
-    void give_up_unknown(live_request& request, refusal_reason reason);
+    void abandon_as_unknown(live_request& request, refusal_reason reason);
     void finish(live_request& request);
-    void tell_end(live_request const& request);
-    void drop_claim(live_request& request);
-    void refuse_arrival(request_arrived const& happened, refusal_reason reason);
-    void problem(request_number number, service_id const& service,
-                 std::uint16_t status, refusal_reason reason,
-                 duration retry_after);
-    void problem_end(live_request& request, std::uint16_t status,
-                     refusal_reason reason, duration retry_after);
+    void report_end(live_request const& request);
+    void release_claim(live_request& request);
+    void refuse_arrival(request_arrived const& event, refusal_reason reason);
+    void answer_with_problem(request_number number, service_id const& service,
+                             std::uint16_t status, refusal_reason reason,
+                             duration retry_after);
+    void finish_with_problem(live_request& request, std::uint16_t status,
+                             refusal_reason reason, duration retry_after);
     void count_end(live_request const& request,
                    std::uint64_t service_counters::* kind);
-    void look_for_drain_end();
+    void check_drain_progress();
 
-    entry_settings chosen;
+    entry_settings host_settings;
     instant now{};
-    effects out;
+    effects pending_effects;
     bilberrylead::revision revision = 0;
     std::shared_ptr<config::configuration const> content;
-    std::shared_ptr<std::vector<discovery::listed_upstream> const> listed;
+    std::shared_ptr<std::vector<discovery::listed_upstream> const>
+        upstream_list;
     std::set<zone_id> closed;
     entry_hosts_counted entry_hosts;
-    regions_planned plan;
-    policy::generator draws;
+    regions_planned region_plan;
+    policy::generator split_random;
     std::uint64_t placement_seed;
-    std::uint64_t drawn_before = 0;
+    std::uint64_t split_draw_count = 0;
     std::map<region_id, std::uint32_t> region_numbers;
     std::unique_ptr<routing_table const> routing;
-    std::map<service_id, service_state> states;
-    std::unordered_map<request_number, live_request> live;
-    std::set<wake_entry> wakes;
+    std::map<service_id, service_state> service_states;
+    std::unordered_map<request_number, live_request> live_requests;
+    std::set<timer_entry> timers;
     // Services that had a slot freed, or lost an upstream, in this event.
-    std::set<service_id> freed;
+    std::set<service_id> services_to_dispatch;
     // Claims whose requests were given up on before the verdict came: a
     // grant that comes late must be released, or the work stays claimed.
-    std::unordered_map<request_number, once::claim_key> late_claims;
-    std::deque<std::pair<instant, request_number>> late_claim_ends;
-    bool control_answers = true;
+    std::unordered_map<request_number, once::claim_key> abandoned_claims;
+    std::deque<std::pair<instant, request_number>> abandoned_claim_expiries;
+    bool control_is_reachable = true;
     drain_life_cycle drain;
-    instant drain_began{};
-    instant last_work{};
-    entry_counters counted;
+    instant drain_started_at{};
+    instant last_activity{};
+    entry_counters current_counters;
     policy::crash_history crashes;
     policy::upstream_losses losses;
 };
--- a/bilberrylead/entry/entry_reducer_answers.cpp
+++ b/bilberrylead/entry/entry_reducer_answers.cpp
@@ -16,86 +16,90 @@
 
 /// How long a late grant is still looked for. A claim that the control hosts
 /// answer after that is theirs to expire.
-constexpr duration late_claim_time = std::chrono::seconds(60);
+constexpr duration abandoned_claim_retention = std::chrono::seconds(60);
 
 } // namespace
 
 live_request* entry_reducer::find(request_number number)
 {
-    auto const found = this->live.find(number);
-    return found == this->live.end() ? nullptr : &found->second;
+    auto const found = this->live_requests.find(number);
+    return found == this->live_requests.end() ? nullptr : &found->second;
 }
 
-void entry_reducer::set_wake(live_request& request, instant when)
+void entry_reducer::set_timer(live_request& request, instant when)
 {
-    this->wakes.erase({request.wake, request.number});
-    request.wake = when;
-    this->wakes.emplace(when, request.number);
+    this->timers.erase({request.timer, request.number});
+    request.timer = when;
+    this->timers.emplace(when, request.number);
 }
 
-void entry_reducer::free_slot(live_request const& request)
+void entry_reducer::release_slot(live_request const& request)
 {
     assert(!request.tried.empty());
-    this->state_of(request.service).free_slot(request.tried.back());
-    this->freed.insert(request.service);
+    this->state_of(request.service).release_slot(request.tried.back());
+    this->services_to_dispatch.insert(request.service);
 }
 
-void entry_reducer::on(claim_answered const& happened)
+void entry_reducer::on(claim_answered const& event)
 {
     bool const granted =
-        std::holds_alternative<once::claim_granted>(happened.verdict);
-    auto const late = this->late_claims.find(happened.request);
-    if (late != this->late_claims.end())
+        std::holds_alternative<once::claim_granted>(event.verdict);
+    auto const late = this->abandoned_claims.find(event.request);
+    if (late != this->abandoned_claims.end())
     {
         if (granted)
         {
-            this->out.push_back(report_release{happened.request, late->second});
+            this->pending_effects.push_back(
+                report_release{event.request, late->second});
         }
-        this->late_claims.erase(late);
+        this->abandoned_claims.erase(late);
         return;
     }
-    live_request* request = this->find(happened.request);
+    live_request* request = this->find(event.request);
     if (request == nullptr ||
-        request->life.current() != request_state::claiming)
+        request->life_cycle.current() != request_state::claiming)
     {
         return;
     }
-    request->life.pause();
+    request->life_cycle.pause();
     if (granted)
     {
         // The records know of no run, so an earlier sending was not run.
         request->holds_claim = true;
-        request->maybe_ran_before = false;
+        request->earlier_may_have_run = false;
         this->place(*request);
         return;
     }
-    this->answer_verdict(*request, happened.verdict);
+    this->answer_claim_verdict(*request, event.verdict);
 }
 
-void entry_reducer::answer_verdict(live_request& request,
-                                   once::claim_verdict const& verdict)
+void entry_reducer::answer_claim_verdict(live_request& request,
+                                         once::claim_verdict const& verdict)
 {
     if (std::holds_alternative<once::claim_in_progress>(verdict))
     {
-        this->problem_end(request, status_conflict, refusal_reason::in_progress,
-                          this->chosen.retry_after);
+        this->finish_with_problem(request, status_conflict,
+                                  refusal_reason::in_progress,
+                                  this->host_settings.retry_after);
         return;
     }
     if (std::holds_alternative<once::claim_mismatch>(verdict))
     {
-        this->problem_end(request, status_unprocessable,
-                          refusal_reason::key_mismatch, duration::zero());
+        this->finish_with_problem(request, status_unprocessable,
+                                  refusal_reason::key_mismatch,
+                                  duration::zero());
         return;
     }
     if (std::holds_alternative<once::claim_outcome_unknown>(verdict))
     {
-        this->give_up_unknown(request, refusal_reason::earlier_unknown);
+        this->abandon_as_unknown(request, refusal_reason::earlier_unknown);
         return;
     }
     if (once::claim_recorded const* record =
             std::get_if<once::claim_recorded>(&verdict))
     {
-        this->out.push_back(answer_recorded{request.number, record->answer});
+        this->pending_effects.push_back(
+            answer_recorded{request.number, record->answer});
         this->count_end(request, &service_counters::recorded);
         this->finish(request);
         return;
@@ -103,28 +107,29 @@
     this->refuse(request, refusal_reason::claim_refused);
 }
 
-void entry_reducer::on(completion_stored const& happened)
+void entry_reducer::on(completion_stored const& event)
 {
-    live_request* request = this->find(happened.request);
-    if (request != nullptr && request->life.current() == request_state::storing)
+    live_request* request = this->find(event.request);
+    if (request != nullptr &&
+        request->life_cycle.current() == request_state::storing)
     {
-        this->out.push_back(answer_collected{request->number});
+        this->pending_effects.push_back(answer_collected{request->number});
         this->count_end(*request, &service_counters::done);
         this->finish(*request);
     }
 }
 
-void entry_reducer::on(caller_gone const& happened)
+void entry_reducer::on(caller_gone const& event)
 {
-    live_request* request = this->find(happened.request);
-    if (request == nullptr || request->answered)
+    live_request* request = this->find(event.request);
+    if (request == nullptr || request->caller_done)
     {
         return;
     }
-    ++this->counted.services[request->service].callers_gone;
-    request->answered = true;
+    ++this->current_counters.services[request->service].callers_gone;
+    request->caller_done = true;
     request->outcome = request_outcome::caller_gone;
-    switch (request->life.current())
+    switch (request->life_cycle.current())
     {
     case request_state::claiming:
     case request_state::waiting:
@@ -143,45 +148,46 @@
     case request_state::storing:
         this->finish(*request);
         return;
-    case request_state::passing:
+    case request_state::streaming:
         break;
     }
-    this->out.push_back(cancel_upstream{request->number});
-    this->free_slot(*request);
+    this->pending_effects.push_back(cancel_upstream{request->number});
+    this->release_slot(*request);
     this->finish(*request);
 }
 
-void entry_reducer::on(tick const& /*happened*/)
+void entry_reducer::on(tick const& /*event*/)
 {
-    while (!this->wakes.empty() && this->wakes.begin()->first <= this->now)
+    while (!this->timers.empty() && this->timers.begin()->first <= this->now)
     {
-        request_number const number = this->wakes.begin()->second;
-        this->wakes.erase(this->wakes.begin());
+        request_number const number = this->timers.begin()->second;
+        this->timers.erase(this->timers.begin());
         live_request* request = this->find(number);
         assert(request != nullptr);
         this->expire(*request);
     }
-    while (!this->late_claim_ends.empty() &&
-           this->late_claim_ends.front().first <= this->now)
+    while (!this->abandoned_claim_expiries.empty() &&
+           this->abandoned_claim_expiries.front().first <= this->now)
     {
-        this->late_claims.erase(this->late_claim_ends.front().second);
-        this->late_claim_ends.pop_front();
+        this->abandoned_claims.erase(
+            this->abandoned_claim_expiries.front().second);
+        this->abandoned_claim_expiries.pop_front();
     }
-    for (auto& [service, state] : this->states)
+    for (auto& [service, state] : this->service_states)
     {
-        state.check(this->now);
+        state.advance(this->now);
         this->refuse_expired(state);
-        this->freed.insert(service);
+        this->services_to_dispatch.insert(service);
     }
     this->report_limits();
     this->crashes.expire(this->now);
     this->losses.expire(this->now);
-    this->look_for_drain_end();
+    this->check_drain_progress();
 }
 
 void entry_reducer::expire(live_request& request)
 {
-    switch (request.life.current())
+    switch (request.life_cycle.current())
     {
     case request_state::claiming:
     case request_state::waiting:
@@ -195,78 +201,82 @@
         this->expire_run(request);
         return;
     case request_state::storing:
-        this->out.push_back(answer_collected{request.number});
+        this->pending_effects.push_back(answer_collected{request.number});
         this->count_end(request, &service_counters::done);
         this->finish(request);
         return;
-    case request_state::passing:
+    case request_state::streaming:
         return;
     }
 }
 
 void entry_reducer::refuse(live_request& request, refusal_reason reason)
 {
-    this->refuse(request, reason, this->chosen.retry_after);
+    this->refuse(request, reason, this->host_settings.retry_after);
 }
 
 void entry_reducer::refuse(live_request& request, refusal_reason reason,
                            duration retry_after)
 {
     // Another try of idempotent work may be refused after one that ran.
-    if (request.maybe_ran)
+    if (request.may_have_run)
     {
-        this->give_up_unknown(request, reason);
+        this->abandon_as_unknown(request, reason);
         return;
     }
-    this->drop_claim(request);
-    if (!request.answered && request.maybe_ran_before)
+    this->release_claim(request);
+    if (!request.caller_done && request.earlier_may_have_run)
     {
         request.outcome = request_outcome::unknown;
         request.reason = reason;
-        this->out.push_back(
+        this->pending_effects.push_back(
             answer_unknown{request.number, reason, retry_after});
-        ++this->counted.refusals.at(static_cast<std::size_t>(reason));
+        ++this->current_counters.refusals.at(static_cast<std::size_t>(reason));
         this->count_end(request, &service_counters::unknown);
     }
-    else if (!request.answered)
+    else if (!request.caller_done)
     {
         request.outcome = request_outcome::not_run;
         request.reason = reason;
-        this->out.push_back(
+        this->pending_effects.push_back(
             answer_not_run{request.number, reason, retry_after});
-        ++this->counted.refusals.at(static_cast<std::size_t>(reason));
+        ++this->current_counters.refusals.at(static_cast<std::size_t>(reason));
         this->count_end(request, &service_counters::not_run);
     }
     this->finish(request);
 }
 
-void entry_reducer::drop_claim(live_request& request)
+void entry_reducer::release_claim(live_request& request)
 {
-    if (request.guarded && request.life.current() == request_state::claiming)
+    if (request.guarded &&
+        request.life_cycle.current() == request_state::claiming)
     {
-        this->late_claims.emplace(request.number, request.claim);
-        this->late_claim_ends.emplace_back(this->now + late_claim_time,
-                                           request.number);
+        this->abandoned_claims.emplace(request.number, request.claim);
+        this->abandoned_claim_expiries.emplace_back(
+            this->now + abandoned_claim_retention, request.number);
     }
     else if (request.holds_claim)
     {
-        this->out.push_back(report_release{request.number, request.claim});
+        this->pending_effects.push_back(
+            report_release{request.number, request.claim});
     }
 }
 
-void entry_reducer::give_up_unknown(live_request& request,
-                                    refusal_reason reason)
+void entry_reducer::abandon_as_unknown(live_request& request,
+                                       refusal_reason reason)
 {
     if (request.holds_claim)
     {
-        this->out.push_back(report_unknown{request.number, request.claim});
+        this->pending_effects.push_back(
+            report_unknown{request.number, request.claim});
     }
-    if (!request.answered)
+    if (!request.caller_done)
     {
         request.outcome = request_outcome::unknown;
         request.reason = reason;
-        this->out.push_back(answer_unknown{request.number, reason, {}});
-        ++this->counted.refusals.at(static_cast<std::size_t>(reason));
+        this->pending_effects.push_back(
+            answer_unknown{request.number, reason, {}});
+        ++this->current_counters.refusals.at(static_cast<std::size_t>(reason));
         this->count_end(request, &service_counters::unknown);
     }
     this->finish(request);
@@ -274,19 +284,20 @@
 
 void entry_reducer::finish(live_request& request)
 {
-    this->last_work = this->now;
+    this->last_activity = this->now;
     request_number const number = request.number;
-    if (request.life.current() == request_state::waiting)
+    if (request.life_cycle.current() == request_state::waiting)
     {
         this->state_of(request.service)
-            .cancel(static_cast<std::uint64_t>(number), request.reached);
+            .cancel(static_cast<std::uint64_t>(number), request.reachable);
     }
-    this->wakes.erase({request.wake, number});
-    this->tell_end(request);
-    this->live.erase(number);
+    this->timers.erase({request.timer, number});
+    this->report_end(request);
+    this->live_requests.erase(number);
 }
 
-region_id entry_reducer::name_of(std::optional<std::uint32_t> region) const
+region_id
+entry_reducer::region_name_of(std::optional<std::uint32_t> region) const
 {
     for (auto const& [name, number] : this->region_numbers)
     {
@@ -298,7 +309,7 @@
     return {};
 }
 
-void entry_reducer::tell_end(live_request const& request)
+void entry_reducer::report_end(live_request const& request)
 {
     request_ended end;
     end.request = request.number;
@@ -311,65 +322,72 @@
     end.digest = request.digest;
     end.caller = request.caller;
     end.tried = request.tried;
-    end.region = this->name_of(request.region);
+    end.region = this->region_name_of(request.region);
     end.expected_wait = request.expected_wait;
     end.run_factor = request.run_factor;
     end.usual_run = this->state_of(request.service).usual_run();
-    end.took = this->now - request.arrived;
-    end.answered_after = request.answered_after;
-    this->out.push_back(std::move(end));
+    end.took = this->now - request.arrived_at;
+    end.time_to_head = request.time_to_head;
+    this->pending_effects.push_back(std::move(end));
 }
 
-void entry_reducer::refuse_arrival(request_arrived const& happened,
+void entry_reducer::refuse_arrival(request_arrived const& event,
                                    refusal_reason reason)
 {
-    ++this->counted.refusals.at(static_cast<std::size_t>(reason));
+    ++this->current_counters.refusals.at(static_cast<std::size_t>(reason));
     request_ended end;
-    end.request = happened.request;
-    end.service = happened.service;
-    end.digest = happened.digest;
-    end.caller = happened.caller;
+    end.request = event.request;
+    end.service = event.service;
+    end.digest = event.digest;
+    end.caller = event.caller;
     end.outcome =
-        happened.repeated ? request_outcome::unknown : request_outcome::not_run;
+        event.repeated ? request_outcome::unknown : request_outcome::not_run;
     end.reason = reason;
-    this->out.push_back(std::move(end));
-    if (happened.repeated)
+    this->pending_effects.push_back(std::move(end));
+    if (event.repeated)
     {
-        this->out.push_back(
-            answer_unknown{happened.request, reason, this->chosen.retry_after});
+        this->pending_effects.push_back(answer_unknown{
+            event.request, reason, this->host_settings.retry_after});
         return;
     }
-    this->out.push_back(
-        answer_not_run{happened.request, reason, this->chosen.retry_after});
+    this->pending_effects.push_back(
+        answer_not_run{event.request, reason, this->host_settings.retry_after});
 }
 
-void entry_reducer::problem(request_number number, service_id const& service,
-                            std::uint16_t status, refusal_reason reason,
-                            duration retry_after)
+void entry_reducer::answer_with_problem(request_number number,
+                                        service_id const& service,
+                                        std::uint16_t status,
+                                        refusal_reason reason,
+                                        duration retry_after)
 {
-    ++this->counted.refusals.at(static_cast<std::size_t>(reason));
+    ++this->current_counters.refusals.at(static_cast<std::size_t>(reason));
     if (!service.empty())
     {
-        ++this->counted.services[service].problems;
+        ++this->current_counters.services[service].problems;
     }
-    this->out.push_back(answer_problem{number, status, reason, retry_after});
+    this->pending_effects.push_back(
+        answer_problem{number, status, reason, retry_after});
 }
 
-void entry_reducer::problem_end(live_request& request, std::uint16_t status,
-                                refusal_reason reason, duration retry_after)
+void entry_reducer::finish_with_problem(live_request& request,
+                                        std::uint16_t status,
+                                        refusal_reason reason,
+                                        duration retry_after)
 {
     request.outcome = request_outcome::problem;
     request.reason = reason;
-    this->problem(request.number, request.service, status, reason, retry_after);
+    this->answer_with_problem(request.number, request.service, status, reason,
+                              retry_after);
     this->finish(request);
 }
 
 void entry_reducer::count_end(live_request const& request,
                               std::uint64_t service_counters::* kind)
 {
-    service_counters& service = this->counted.services[request.service];
+    service_counters& service =
+        this->current_counters.services[request.service];
     ++(service.*kind);
-    duration const took = this->now - request.arrived;
+    duration const took = this->now - request.arrived_at;
     service.latency_sum += took;
     auto const bound = std::find_if(
         service_counters::bounds_ms.begin(), service_counters::bounds_ms.end(),
--- a/bilberrylead/entry/entry_reducer_configuration.cpp
+++ b/bilberrylead/entry/entry_reducer_configuration.cpp
@@ -13,69 +13,69 @@
 {
 
 /// What rates are counted in.
-constexpr double full_share_real = 1000;
+constexpr double per_mille_real = 1000;
 /// Where a service names no bound for cold upstreams.
 constexpr double unlimited_rate = 1e9;
 
 } // namespace
 
-void entry_reducer::on(configuration_received const& happened)
+void entry_reducer::on(configuration_received const& event)
 {
     // A late message or a neighbour that lags must not bring back what an
     // operator has already changed.
-    if (happened.revision <= this->revision)
+    if (event.revision <= this->revision)
     {
         return;
     }
-    this->revision = happened.revision;
+    this->revision = event.revision;
     for (zone_id const& zone : this->closed)
     {
-        if (!happened.closed_zones.contains(zone))
+        if (!event.closed_zones.contains(zone))
         {
-            this->note_opened(zone);
+            this->record_zone_opened(zone);
         }
     }
-    this->closed = happened.closed_zones;
-    if (happened.content != nullptr)
+    this->closed = event.closed_zones;
+    if (event.content != nullptr)
     {
-        this->content = happened.content;
+        this->content = event.content;
     }
     this->rebuild();
 }
 
-void entry_reducer::on(upstreams_listed const& happened)
+void entry_reducer::on(upstreams_listed const& event)
 {
-    this->listed = happened.upstreams;
-    this->find_ended();
+    this->upstream_list = event.upstreams;
+    this->find_ended_upstreams();
     this->rebuild();
 }
 
-void entry_reducer::on(entry_hosts_counted const& happened)
+void entry_reducer::on(entry_hosts_counted const& event)
 {
-    this->entry_hosts.hosts = std::max<std::uint64_t>(happened.hosts, 1);
-    this->entry_hosts.in_a_region =
-        std::max<std::uint64_t>(happened.in_a_region, 1);
-    this->set_shares();
+    this->entry_hosts.hosts = std::max<std::uint64_t>(event.hosts, 1);
+    this->entry_hosts.max_per_region =
+        std::max<std::uint64_t>(event.max_per_region, 1);
+    this->update_host_shares();
 }
 
-void entry_reducer::on(regions_planned const& happened)
+void entry_reducer::on(regions_planned const& event)
 {
-    this->plan = happened;
-    this->follow_plan();
+    this->region_plan = event;
+    this->apply_region_plan();
 }
 
 /// Services that the configuration brings later follow the same plan: after a
 /// start it often comes first, and without it their first requests would all
 /// run at home.
-void entry_reducer::follow_plan()
+void entry_reducer::apply_region_plan()
 {
     // Numbered first: a plan may come before any upstream of this region is
     // listed, and each target must have a place for it.
-    std::uint32_t const home = this->number_of(this->own_region());
+    std::uint32_t const own_region = this->region_number_of(this->own_region());
     std::map<service_id, std::vector<double>> targets;
-    for (planned_share const& each : this->plan.shares)
+    for (planned_share const& each : this->region_plan.shares)
     {
-        std::uint32_t const number = this->number_of(each.region);
+        std::uint32_t const number = this->region_number_of(each.region);
         std::vector<double>& target = targets[each.service];
         target.resize(std::max<std::size_t>(target.size(), number + 1));
         target[number] = each.share;
@@ -90,18 +90,19 @@
             sum += share;
         }
         target.resize(regions);
-        target[home] += 1 - sum;
-        auto const state = this->states.find(service);
-        if (state != this->states.end())
+        target[own_region] += 1 - sum;
+        auto const state = this->service_states.find(service);
+        if (state != this->service_states.end())
         {
-            state->second.regions().aim(this->named_regions(target), this->now);
+            state->second.region_shares().aim(this->region_targets(target),
+                                              this->now);
         }
     }
 }
 
 /// Upstreams whose zone was closed for a while have lost their caches, or
 /// were started anew meanwhile; nobody says so.
-void entry_reducer::note_opened(zone_id const& zone)
+void entry_reducer::record_zone_opened(zone_id const& zone)
 {
     if (this->content == nullptr)
     {
@@ -110,14 +111,14 @@
     for (config::service const& service : this->content->services)
     {
         this->state_of(service.id)
-            .note_cold(zone, this->now + service.cold_time);
+            .record_cold_zone(zone, this->now + service.cold_time);
     }
 }
 
 std::map<service_id, double> entry_reducer::demands() const
 {
     std::map<service_id, double> slots;
-    for (auto const& [service, state] : this->states)
+    for (auto const& [service, state] : this->service_states)
     {
         slots[service] = state.demand(this->now);
     }
@@ -132,57 +133,58 @@
     }
     std::unique_ptr<routing_table const> const old = std::move(this->routing);
     this->routing = std::make_unique<routing_table const>(
-        this->content, this->chosen, this->listed);
+        this->content, this->host_settings, this->upstream_list);
     for (config::service const& service : this->content->services)
     {
         this->state_of(service.id);
     }
-    this->follow_plan();
-    this->place_again();
-    this->set_shares();
+    this->apply_region_plan();
+    this->reconfigure_services();
+    this->update_host_shares();
 }
 
-void entry_reducer::set_shares()
+void entry_reducer::update_host_shares()
 {
-    if (this->content == nullptr || !this->chosen.upstreams_are_listed)
+    if (this->content == nullptr || !this->host_settings.upstreams_are_listed)
     {
         return;
     }
     double const hosts = static_cast<double>(this->entry_hosts.hosts);
-    double const saved =
-        policy::shared_bound_use * this->chosen.retries.slack / hosts;
+    double const saved_retries =
+        policy::shared_bound_use * this->host_settings.retries.slack / hosts;
 
-    double const senders = static_cast<double>(this->entry_hosts.in_a_region);
-    std::uint32_t const home = this->number_of(this->own_region());
+    double const senders =
+        static_cast<double>(this->entry_hosts.max_per_region);
+    std::uint32_t const own_region = this->region_number_of(this->own_region());
     for (config::service const& service : this->content->services)
     {
-        double const bound =
-            service.cold_rate / full_share_real * this->chosen.cold.factor +
-            this->chosen.cold.slack;
+        double const bound = service.cold_rate / per_mille_real *
+                                 this->host_settings.cold.factor +
+                             this->host_settings.cold.slack;
         // Each sender may have a saved token to spend in the same second.
         policy::cold_share cold{unlimited_rate};
         if (service.cold_rate > 0)
         {
             cold = policy::cold_share_of(
-                bound, senders, std::hash<host_id>{}(this->chosen.self));
-            cold.region = home;
+                bound, senders, std::hash<host_id>{}(this->host_settings.self));
+            cold.region = own_region;
         }
-        this->state_of(service.id).set_shares(cold, saved);
+        this->state_of(service.id).set_host_shares(cold, saved_retries);
     }
 }
 
 std::vector<policy::region_target>
-entry_reducer::named_regions(std::vector<double> const& shares) const
+entry_reducer::region_targets(std::vector<double> const& shares) const
 {
-    std::vector<policy::region_target> named(shares.size());
+    std::vector<policy::region_target> targets(shares.size());
     for (auto const& [name, number] : this->region_numbers)
     {
-        named[number] = {std::hash<region_id>{}(name), shares[number]};
+        targets[number] = {std::hash<region_id>{}(name), shares[number]};
     }
-    return named;
+    return targets;
 }
 
-std::uint32_t entry_reducer::number_of(region_id const& region)
+std::uint32_t entry_reducer::region_number_of(region_id const& region)
 {
     return this->region_numbers
         .try_emplace(region,
@@ -190,7 +192,7 @@
         .first->second;
 }
 
-body_rules entry_reducer::rules_for_body(service_id const& service,
+body_rules entry_reducer::body_rules_for(service_id const& service,
                                          std::string const& host,
                                          std::string_view path) const
 {
@@ -200,47 +202,48 @@
     }
     if (this->routing->has_routes())
     {
-        bool const known = this->routing->find_route(host, path) != nullptr;
-        return {known, this->content->limits.body_bytes, false};
+        bool const is_served = this->routing->find_route(host, path) != nullptr;
+        return {is_served, this->content->limits.body_bytes, false};
     }
-    config::service const* const named = this->find_service(service);
-    if (named == nullptr)
+    config::service const* const found = this->find_service(service);
+    if (found == nullptr)
     {
         return {};
     }
-    return {true, named->largest_request, named->guarded};
+    return {true, found->largest_request, found->guarded};
 }
 
-config::caller_limits const* entry_reducer::limits() const
+config::caller_limits const* entry_reducer::caller_limits() const
 {
-    bool const configured =
+    bool const uses_routes =
         this->routing != nullptr && this->routing->has_routes();
-    return configured ? &this->content->limits : nullptr;
+    return uses_routes ? &this->content->limits : nullptr;
 }
 
-void entry_reducer::place_again()
+void entry_reducer::reconfigure_services()
 {
     std::vector<std::uint64_t> waiting;
-    for (auto& [service, state] : this->states)
+    for (auto& [service, state] : this->service_states)
     {
-        std::vector<std::uint64_t> const taken = state.take_waiting(this->now);
-        waiting.insert(waiting.end(), taken.begin(), taken.end());
+        std::vector<std::uint64_t> const removed =
+            state.remove_waiting(this->now);
+        waiting.insert(waiting.end(), removed.begin(), removed.end());
         std::vector<configured_upstream> upstreams;
         for (config::upstream const* each :
              this->routing->upstreams_of(service))
         {
-            configured_upstream placed;
-            placed.upstream = each;
-            placed.distance =
-                this->routing->distance(this->chosen.zone, each->zone);
-            placed.region =
-                this->number_of(this->routing->region_of(each->zone));
-            placed.closed = this->closed.contains(each->zone);
-            discovery::listed_upstream const* const entry =
-                this->routing->find_listed(each->id);
-            placed.cold_until =
-                entry == nullptr ? instant{} : entry->cold_until;
-            upstreams.push_back(placed);
+            configured_upstream configured;
+            configured.upstream = each;
+            configured.distance =
+                this->routing->distance(this->host_settings.zone, each->zone);
+            configured.region =
+                this->region_number_of(this->routing->region_of(each->zone));
+            configured.closed = this->closed.contains(each->zone);
+            discovery::listed_upstream const* const listed =
+                this->routing->find_listed_upstream(each->id);
+            configured.cold_until =
+                listed == nullptr ? instant{} : listed->cold_until;
+            upstreams.push_back(configured);
         }
         std::sort(
             upstreams.begin(), upstreams.end(),
@@ -251,9 +254,9 @@
             });
         state.configure(std::move(upstreams));
     }
-    for (auto& [number, request] : this->live)
+    for (auto& [number, request] : this->live_requests)
     {
-        this->find_reach(request);
+        this->update_reach(request);
     }
     for (std::uint64_t const ticket : waiting)
     {
@@ -261,42 +264,42 @@
     }
 }
 
-void entry_reducer::find_reach(live_request& request) const
+void entry_reducer::update_reach(live_request& request) const
 {
-    request.reached.clear();
+    request.reachable.clear();
     bool const has_selectors = this->routing->has_selectors(request.service);
     if (!has_selectors && request.regions.empty())
     {
         return;
     }
-    caller_place const caller =
-        has_selectors ? this->routing->place_of(request.caller_address)
-                      : caller_place{};
-    auto const state = this->states.find(request.service);
-    if (state == this->states.end())
+    caller_location const caller =
+        has_selectors ? this->routing->locate_caller(request.caller_address)
+                      : caller_location{};
+    auto const state = this->service_states.find(request.service);
+    if (state == this->service_states.end())
     {
         return;
     }
     for (configured_upstream const& each : state->second.upstreams())
     {
         bool const selected =
-            !has_selectors || this->routing->reaches(caller, *each.upstream);
-        bool const at_home =
+            !has_selectors || this->routing->can_reach(caller, *each.upstream);
+        bool const in_allowed_region =
             request.regions.empty() ||
             std::find(request.regions.begin(), request.regions.end(),
                       this->routing->region_of(each.upstream->zone)) !=
                 request.regions.end();
-        request.reached.push_back(selected && at_home);
+        request.reachable.push_back(selected && in_allowed_region);
     }
 }
 
 region_id entry_reducer::own_region() const
 {
-    if (!this->chosen.region.empty() || this->routing == nullptr)
+    if (!this->host_settings.region.empty() || this->routing == nullptr)
     {
-        return this->chosen.region;
+        return this->host_settings.region;
     }
-    return this->routing->region_of(this->chosen.zone);
+    return this->routing->region_of(this->host_settings.zone);
 }
 
 } // namespace bilberrylead::entry
--- a/bilberrylead/entry/entry_reducer_crashes.cpp
+++ b/bilberrylead/entry/entry_reducer_crashes.cpp
@@ -17,24 +17,24 @@
     case policy::crash_verdict::unrestricted:
         return std::nullopt;
     case policy::crash_verdict::refused:
-        return this->chosen.crash_retry_after;
+        return this->host_settings.crash_retry_after;
     case policy::crash_verdict::restricted:
         break;
     }
     bool const runs_already = std::any_of(
-        this->live.begin(), this->live.end(),
+        this->live_requests.begin(), this->live_requests.end(),
         [&request](auto const& each)
         {
             return each.first != request.number &&
                    each.second.digest == request.digest &&
-                   each.second.life.current() == request_state::running;
+                   each.second.life_cycle.current() == request_state::running;
         });
-    return runs_already || request.maybe_ran
-               ? std::optional<duration>(this->chosen.retry_after)
+    return runs_already || request.may_have_run
+               ? std::optional<duration>(this->host_settings.retry_after)
                : std::nullopt;
 }
 
-void entry_reducer::note_loss(live_request const& request)
+void entry_reducer::record_loss(live_request const& request)
 {
     if (request.digest == 0)
     {
@@ -44,112 +44,115 @@
     switch (this->losses.note_loss(upstream, request.digest, this->now))
     {
     case policy::loss_step::probe:
-        this->out.push_back(probe_upstream{upstream, request.sent_to});
+        this->pending_effects.push_back(
+            probe_upstream{upstream, request.sent_to});
         return;
     case policy::loss_step::wait:
         return;
     case policy::loss_step::ended:
-        this->note_crash(request.digest, upstream);
+        this->record_crash(request.digest, upstream);
         return;
     }
 }
 
-void entry_reducer::on(upstream_probed const& happened)
+void entry_reducer::on(upstream_probed const& event)
 {
-    switch (happened.outcome)
+    switch (event.outcome)
     {
-    case probe_outcome::taken:
-        this->losses.note_alive(happened.upstream);
-        this->out.push_back(loss_settled{happened.upstream, false});
+    case probe_outcome::accepted:
+        this->losses.note_alive(event.upstream);
+        this->pending_effects.push_back(
+            connection_loss_resolved{event.upstream, false});
         return;
     case probe_outcome::refused:
-        this->note_end(happened.upstream);
+        this->record_upstream_end(event.upstream);
         return;
-    case probe_outcome::silent:
+    case probe_outcome::no_response:
         // A cut or a frozen upstream; the listing tells if it ended.
         return;
     }
 }
 
 /// Upstreams that are listed no more have ended.
-void entry_reducer::find_ended()
+void entry_reducer::find_ended_upstreams()
 {
     for (upstream_id const& upstream : this->losses.open())
     {
-        bool const is_listed =
-            std::any_of(this->listed->begin(), this->listed->end(),
-                        [&upstream](discovery::listed_upstream const& each)
-                        {
-                            return each.upstream.id == upstream;
-                        });
+        bool const is_listed = std::any_of(
+            this->upstream_list->begin(), this->upstream_list->end(),
+            [&upstream](discovery::listed_upstream const& each)
+            {
+                return each.upstream.id == upstream;
+            });
         if (!is_listed)
         {
-            this->note_end(upstream);
+            this->record_upstream_end(upstream);
         }
     }
 }
 
-void entry_reducer::note_end(upstream_id const& upstream)
+void entry_reducer::record_upstream_end(upstream_id const& upstream)
 {
     std::vector<std::uint64_t> const digests =
         this->losses.note_ended(upstream, this->now);
     if (!digests.empty())
     {
-        this->out.push_back(loss_settled{upstream, true});
+        this->pending_effects.push_back(
+            connection_loss_resolved{upstream, true});
     }
     for (std::uint64_t const digest : digests)
     {
-        this->note_crash(digest, upstream);
+        this->record_crash(digest, upstream);
     }
 }
 
-void entry_reducer::note_crash(std::uint64_t digest,
-                               upstream_id const& upstream)
+void entry_reducer::record_crash(std::uint64_t digest,
+                                 upstream_id const& upstream)
 {
     std::optional<policy::crash_record> const changed =
         this->crashes.note_crash(digest, upstream, this->now);
     if (changed.has_value())
     {
-        this->tell_own_record(*changed);
+        this->publish_crash_record(*changed);
         this->refuse_crashing(digest);
     }
 }
 
-void entry_reducer::note_whole_answer(live_request const& request)
+void entry_reducer::record_complete_answer(live_request const& request)
 {
     std::optional<policy::crash_record> const cleared =
         this->crashes.clear(request.digest, this->now);
     if (cleared.has_value())
     {
-        this->tell_own_record(*cleared);
+        this->publish_crash_record(*cleared);
     }
 }
 
-void entry_reducer::tell_own_record(policy::crash_record const& record)
+void entry_reducer::publish_crash_record(policy::crash_record const& record)
 {
-    this->out.push_back(crash_record_changed{
+    this->pending_effects.push_back(crash_record_changed{
         record, this->crashes.verdict_of(record.digest), false});
-    this->out.push_back(tell_crash_records{{record}});
+    this->pending_effects.push_back(send_crash_records{{record}});
 }
 
-void entry_reducer::on(crash_records_heard const& happened)
+void entry_reducer::on(crash_records_received const& event)
 {
-    policy::crash_merge merged =
-        this->crashes.merge(happened.records, this->now);
+    policy::crash_merge merged = this->crashes.merge(event.records, this->now);
     for (policy::crash_record const& each : merged.learned)
     {
         policy::crash_verdict const verdict =
             this->crashes.verdict_of(each.digest);
         if (verdict != policy::crash_verdict::unrestricted)
         {
-            this->out.push_back(crash_record_changed{each, verdict, true});
+            this->pending_effects.push_back(
+                crash_record_changed{each, verdict, true});
         }
         this->refuse_crashing(each.digest);
     }
     if (!merged.missing_there.empty())
     {
-        this->out.push_back(
-            tell_crash_records{std::move(merged.missing_there), happened.from});
+        this->pending_effects.push_back(
+            send_crash_records{std::move(merged.missing_there), event.from});
     }
 }
 
@@ -161,9 +164,9 @@
         return;
     }
     std::vector<request_number> waiting;
-    for (auto const& [number, request] : this->live)
+    for (auto const& [number, request] : this->live_requests)
     {
-        request_state const state = request.life.current();
+        request_state const state = request.life_cycle.current();
         if (request.digest == digest && (state == request_state::waiting ||
                                          state == request_state::pausing))
         {
@@ -173,7 +176,7 @@
     for (request_number const number : waiting)
     {
         this->refuse(*this->find(number), refusal_reason::crashes_upstreams,
-                     this->chosen.crash_retry_after);
+                     this->host_settings.crash_retry_after);
     }
 }
 
--- a/bilberrylead/entry/entry_reducer_limits.cpp
+++ b/bilberrylead/entry/entry_reducer_limits.cpp
@@ -8,33 +8,34 @@
 namespace bilberrylead::entry
 {
 
-void entry_reducer::note_limit(live_request const& request,
-                               upstream_head_received const& head)
+void entry_reducer::record_limit(live_request const& request,
+                                 upstream_head_received const& head)
 {
     if (!head.limit_readable)
     {
         // A limit that cannot be read changes nothing.
-        ++this->counted.unreadable_limits;
+        ++this->current_counters.unreadable_limits;
         return;
     }
     upstream_id const& upstream = request.tried.back();
     if (!head.misdirected && this->state_of(request.service)
-                                 .note_limit(upstream, head.limit, this->now))
+                                 .record_limit(upstream, head.limit, this->now))
     {
-        this->out.push_back(upstream_limit_changed{upstream, head.limit});
+        this->pending_effects.push_back(
+            upstream_limit_changed{upstream, head.limit});
     }
 }
 
-void entry_reducer::on(limits_heard const& happened)
+void entry_reducer::on(limits_received const& event)
 {
-    for (policy::limit_report const& report : happened.reports)
+    for (policy::limit_report const& report : event.reports)
     {
-        for (auto& [service, state] : this->states)
+        for (auto& [service, state] : this->service_states)
         {
-            if (state.has(report.upstream) &&
-                state.hear_limit(happened.sender, report, this->now))
+            if (state.has_record(report.upstream) &&
+                state.receive_limit(event.sender, report, this->now))
             {
-                this->out.push_back(upstream_limit_changed{
+                this->pending_effects.push_back(upstream_limit_changed{
                     report.upstream, report.per_second, true});
             }
         }
@@ -43,17 +44,17 @@
 
 void entry_reducer::report_limits()
 {
-    tell_limits news;
-    for (auto& [service, state] : this->states)
+    send_limits message;
+    for (auto& [service, state] : this->service_states)
     {
-        for (policy::limit_report& report : state.take_limit_reports(this->now))
+        for (policy::limit_report& report : state.pop_limit_reports(this->now))
         {
-            news.reports.push_back(std::move(report));
+            message.reports.push_back(std::move(report));
         }
     }
-    if (!news.reports.empty())
+    if (!message.reports.empty())
     {
-        this->out.push_back(std::move(news));
+        this->pending_effects.push_back(std::move(message));
     }
 }
 
@@ -63,15 +64,15 @@
 {
     service_state& state = this->state_of(request.service);
     std::optional<duration> const wait =
-        state.limit_wait(request.reached, this->now);
+        state.time_to_next_token(request.reachable, this->now);
     if (!wait.has_value())
     {
         this->refuse(request, refusal_reason::no_upstream);
         return;
     }
-    this->refuse(
-        request, refusal_reason::no_room,
-        policy::return_time(*wait, this->chosen.placement, state.random));
+    this->refuse(request, refusal_reason::no_room,
+                 policy::return_time(*wait, this->host_settings.placement,
+                                     state.random));
 }
 
 } // namespace bilberrylead::entry
--- a/bilberrylead/entry/entry_reducer_placement.cpp
+++ b/bilberrylead/entry/entry_reducer_placement.cpp
@@ -16,7 +16,7 @@
 {
 
 /// What a share is counted in.
-constexpr std::int64_t full_share = 1000;
+constexpr std::int64_t per_mille = 1000;
 
 /// The same on every entry host and in every configuration that has the
 /// route.
@@ -49,7 +49,7 @@
 
 bool entry_reducer::fill_from_route(live_request& request,
                                     config::request_route const& route,
-                                    request_arrived const& happened)
+                                    request_arrived const& event)
 {
     // Each part gets its weight's share of the requests, whatever room it
     // has: what does not fit there is refused and not moved.
@@ -65,8 +65,8 @@
     std::uint32_t drawn = 0;
     if (sum > 1)
     {
-        drawn = this->draws.below(sum);
-        request.split = split_draw{drawn, sum, this->drawn_before++};
+        drawn = this->split_random.below(sum);
+        request.split = split_draw{drawn, sum, this->split_draw_count++};
     }
     config::service const* service = nullptr;
     for (config::route_target const& target : route.targets)
@@ -83,25 +83,24 @@
         return false;
     }
     request.service = service->id;
-    this->state_of(service->id).note_arrival(this->now);
+    this->state_of(service->id).record_arrival(this->now);
     request.repeatable = route.idempotent;
-    request.most_attempts = route.most_attempts;
+    request.max_attempts = route.most_attempts;
     request.regions = route.regions;
-    request.aim = this->now + route.aim;
+    request.latency_target = this->now + route.aim;
     request.deadline = this->now + route.timeout;
-    request.object =
-        route.object_affinity
-            ? policy::object_of_route(hash_of(route), happened.object)
-            : 0;
+    request.object = route.object_affinity
+                         ? policy::object_of_route(hash_of(route), event.object)
+                         : 0;
     // Silence within the route's time is no failure.
     request.progress_timeout = route.timeout;
     return true;
 }
 
 bool entry_reducer::fill_from_service(live_request& request,
-                                      request_arrived const& happened)
+                                      request_arrived const& event)
 {
-    config::service const* const service = this->find_service(happened.service);
+    config::service const* const service = this->find_service(event.service);
     if (service == nullptr)
     {
         return false;
@@ -115,14 +114,14 @@
 }
 
 policy::waiting_request
-entry_reducer::waiting_form(live_request const& request) const
+entry_reducer::to_waiting_request(live_request const& request) const
 {
-    policy::waiting_request form;
-    form.ticket = static_cast<std::uint64_t>(request.number);
-    form.flow = request.flow;
-    form.arrived = request.arrived;
-    form.deadline = request.deadline;
-    return form;
+    policy::waiting_request waiting;
+    waiting.ticket = static_cast<std::uint64_t>(request.number);
+    waiting.flow = request.flow;
+    waiting.arrived = request.arrived_at;
+    waiting.deadline = request.deadline;
+    return waiting;
 }
 
 void entry_reducer::place(live_request& request)
@@ -134,20 +133,21 @@
         this->refuse(request, refusal_reason::crashes_upstreams, *retry_after);
         return;
     }
-    request.life.wait();
-    this->set_wake(request, request.deadline);
-    if (this->chosen.waiting == config::waiting_place::upstream)
+    request.life_cycle.wait();
+    this->set_timer(request, request.deadline);
+    if (this->host_settings.waiting == config::waiting_place::upstream)
     {
         this->place_at_upstream(request);
         return;
     }
     policy::admission_verdict const verdict =
         this->state_of(request.service)
-            .offer(this->waiting_form(request), request.reached, this->now);
+            .offer(this->to_waiting_request(request), request.reachable,
+                   this->now);
     if (policy::refuse const* refused = std::get_if<policy::refuse>(&verdict))
     {
         // It is in no queue, so nothing has to take it out.
-        request.life.pause();
+        request.life_cycle.pause();
         this->refuse(request, reason_of(refused->reason), refused->retry_after);
         return;
     }
@@ -159,13 +159,13 @@
 
 void entry_reducer::start(live_request& request)
 {
-    assert(request.life.current() == request_state::waiting);
+    assert(request.life_cycle.current() == request_state::waiting);
     service_state& state = this->state_of(request.service);
     config::upstream const* upstream =
-        state.choose(request.reached, request.tried, this->now);
+        state.choose(request.reachable, request.tried, this->now);
     if (upstream == nullptr)
     {
-        request.life.pause();
+        request.life_cycle.pause();
         this->refuse_unplaced(request);
         return;
     }
@@ -175,23 +175,23 @@
 void entry_reducer::place_at_upstream(live_request& request)
 {
     service_state& state = this->state_of(request.service);
-    std::uint32_t const home = this->number_of(this->own_region());
+    std::uint32_t const own_region = this->region_number_of(this->own_region());
     if (!request.region.has_value())
     {
-        bool const planned = !state.regions().current().empty();
-        request.region = planned
-                             ? static_cast<std::uint32_t>(state.regions().next(
-                                   request.object, this->now, state.random))
-                             : home;
+        bool const planned = !state.region_shares().current().empty();
+        request.region =
+            planned ? static_cast<std::uint32_t>(state.region_shares().next(
+                          request.object, this->now, state.random))
+                    : own_region;
     }
     policy::placement_verdict verdict =
-        this->find_place(request, *request.region);
+        this->find_placement(request, *request.region);
     if (!std::holds_alternative<policy::placed>(verdict) &&
-        request.region != home)
+        request.region != own_region)
     {
         // The plan is some seconds old. Home may have room by now; going
         // the other way is for the plan alone, at its bounded pace.
-        verdict = this->find_place(request, home);
+        verdict = this->find_placement(request, own_region);
     }
     if (policy::placed const* const found =
             std::get_if<policy::placed>(&verdict))
@@ -202,7 +202,7 @@
         this->start_at(request, state.upstream_at(found->index));
         return;
     }
-    request.life.pause();
+    request.life_cycle.pause();
     if (policy::no_room_to_place const* const full =
             std::get_if<policy::no_room_to_place>(&verdict))
     {
@@ -213,42 +213,43 @@
     this->refuse_unplaced(request);
 }
 
-policy::placement_verdict entry_reducer::find_place(live_request& request,
-                                                    std::uint32_t region)
+policy::placement_verdict entry_reducer::find_placement(live_request& request,
+                                                        std::uint32_t region)
 {
     policy::placement_question question;
     question.object = request.object;
-    question.to_aim = request.aim - this->now;
+    question.to_aim = request.latency_target - this->now;
     question.to_deadline = request.deadline - this->now;
     question.region = region;
     return this->state_of(request.service)
-        .place(question, request.reached, request.tried, this->now);
+        .place(question, request.reachable, request.tried, this->now);
 }
 
-bool entry_reducer::is_last_try(live_request const& request) const
+bool entry_reducer::is_last_attempt(live_request const& request) const
 {
-    std::size_t const most = request.most_attempts > 0
-                                 ? request.most_attempts
-                                 : this->chosen.retry.most_attempts;
+    std::size_t const max_attempts =
+        request.max_attempts > 0 ? request.max_attempts
+                                 : this->host_settings.retry.most_attempts;
     return !request.repeatable || !request.body_kept ||
-           request.tried.size() >= most;
+           request.tried.size() >= max_attempts;
 }
 
 void entry_reducer::start_at(live_request& request,
-                             config::upstream const& chosen_upstream)
+                             config::upstream const& target_upstream)
 {
-    config::upstream const* const upstream = &chosen_upstream;
+    config::upstream const* const upstream = &target_upstream;
     service_state& state = this->state_of(request.service);
-    state.take_slot(upstream->id, this->now);
+    state.acquire_slot(upstream->id, this->now);
     request.tried.push_back(upstream->id);
     request.sent_to = upstream->address;
-    request.life.send();
-    request.sent = this->now;
-    bool const last_try = this->is_last_try(request);
-    duration const share = (request.deadline - this->now) / full_share *
-                           this->chosen.attempt_share;
-    this->set_wake(request, last_try ? request.deadline : this->now + share);
-    this->out.push_back(
+    request.life_cycle.send();
+    request.sent_at = this->now;
+    bool const last_attempt = this->is_last_attempt(request);
+    duration const share = (request.deadline - this->now) / per_mille *
+                           this->host_settings.attempt_share;
+    this->set_timer(request,
+                    last_attempt ? request.deadline : this->now + share);
+    this->pending_effects.push_back(
         start_upstream{request.number, upstream->id, upstream->address,
                        request.deadline, request.progress_timeout,
                        !request.repeatable, request.tried.size() > 1});
--- a/bilberrylead/entry/entry_reducer_upstream.cpp
+++ b/bilberrylead/entry/entry_reducer_upstream.cpp
@@ -14,7 +14,7 @@
 constexpr std::uint16_t first_failure_status = 500;
 /// A run takes at least this part of the time to the answer, whatever wait
 /// and way were expected.
-constexpr int least_run_share = 3;
+constexpr int min_run_divisor = 3;
 
 refusal_reason reason_of(exchange_fault fault)
 {
@@ -22,7 +22,7 @@
     {
     case exchange_fault::connect_failed:
         return refusal_reason::connect_failed;
-    case exchange_fault::silent:
+    case exchange_fault::no_response:
         return refusal_reason::upstream_silent;
     case exchange_fault::connection_lost:
     case exchange_fault::bad_answer:
@@ -33,47 +33,49 @@
 
 } // namespace
 
-void entry_reducer::note_failure(live_request const& request)
+void entry_reducer::record_failure(live_request const& request)
 {
     this->state_of(request.service)
-        .note_failure(request.tried.back(), this->now);
+        .record_failure(request.tried.back(), this->now);
 }
 
-void entry_reducer::on(upstream_head_received const& happened)
+void entry_reducer::on(upstream_head_received const& event)
 {
-    live_request* request = this->find(happened.request);
-    if (request == nullptr || request->life.current() != request_state::running)
+    live_request* request = this->find(event.request);
+    if (request == nullptr ||
+        request->life_cycle.current() != request_state::running)
     {
         return;
     }
     upstream_id const upstream = request->tried.back();
     service_state& state = this->state_of(request->service);
-    if (happened.leaving || happened.misdirected)
+    if (event.leaving || event.misdirected)
     {
-        state.note_leaving(upstream, this->now + this->chosen.leaving_memory);
+        state.record_leaving(upstream,
+                             this->now + this->host_settings.leaving_retention);
     }
-    this->note_limit(*request, happened);
-    if (happened.not_run)
+    this->record_limit(*request, event);
+    if (event.not_run)
     {
-        this->out.push_back(cancel_upstream{request->number});
-        if (!happened.misdirected)
+        this->pending_effects.push_back(cancel_upstream{request->number});
+        if (!event.misdirected)
         {
-            state.note_refusal(upstream, this->now);
+            state.record_refusal(upstream, this->now);
         }
-        this->free_slot(*request);
-        this->try_again(*request, refusal_reason::upstream_refused,
-                        request->body_kept);
+        this->release_slot(*request);
+        this->retry_or_end(*request, refusal_reason::upstream_refused,
+                           request->body_kept);
         return;
     }
-    request->status = happened.status;
-    request->answered_after = this->now - request->sent;
-    if (happened.load.has_value())
+    request->status = event.status;
+    request->time_to_head = this->now - request->sent_at;
+    if (event.load.has_value())
     {
-        state.note_load(upstream, *happened.load, this->now);
+        state.record_load(upstream, *event.load, this->now);
     }
-    if (happened.status >= first_failure_status)
+    if (event.status >= first_failure_status)
     {
-        this->note_failure(*request);
+        this->record_failure(*request);
         if (this->retry_failed_answer(*request))
         {
             return;
@@ -81,76 +83,78 @@
     }
     else
     {
-        state.note_answer(upstream, this->now - request->sent, this->now);
-        this->note_run(*request);
+        state.record_answer(upstream, this->now - request->sent_at, this->now);
+        this->record_run(*request);
     }
     if (request->guarded)
     {
-        request->life.collect();
-        this->out.push_back(collect_answer{request->number});
+        request->life_cycle.collect();
+        this->pending_effects.push_back(collect_answer{request->number});
         return;
     }
-    request->life.pass();
-    this->wakes.erase({request->wake, request->number});
+    request->life_cycle.stream();
+    this->timers.erase({request->timer, request->number});
     this->count_end(*request, &service_counters::done);
-    this->out.push_back(pass_answer_on{request->number});
+    this->pending_effects.push_back(stream_answer{request->number});
 }
 
-void entry_reducer::on(upstream_answer_finished const& happened)
+void entry_reducer::on(upstream_answer_finished const& event)
 {
-    live_request* request = this->find(happened.request);
+    live_request* request = this->find(event.request);
     if (request == nullptr)
     {
         return;
     }
     service_state& state = this->state_of(request->service);
-    if (request->life.current() == request_state::passing)
+    if (request->life_cycle.current() == request_state::streaming)
     {
-        state.note_held(request->tried.back(), this->now - request->sent);
-        this->note_whole_answer(*request);
-        this->free_slot(*request);
+        state.record_slot_time(request->tried.back(),
+                               this->now - request->sent_at);
+        this->record_complete_answer(*request);
+        this->release_slot(*request);
         this->finish(*request);
         return;
     }
-    if (request->life.current() != request_state::collecting ||
-        !happened.collected.has_value())
+    if (request->life_cycle.current() != request_state::collecting ||
+        !event.collected.has_value())
     {
         return;
     }
-    this->note_whole_answer(*request);
-    state.note_held(request->tried.back(), this->now - request->sent);
-    this->free_slot(*request);
-    this->out.push_back(report_completion{request->number, request->claim,
-                                          *happened.collected});
-    if (request->answered)
+    this->record_complete_answer(*request);
+    state.record_slot_time(request->tried.back(), this->now - request->sent_at);
+    this->release_slot(*request);
+    this->pending_effects.push_back(
+        report_completion{request->number, request->claim, *event.collected});
+    if (request->caller_done)
     {
         this->finish(*request);
         return;
     }
-    request->life.store();
-    this->set_wake(*request, std::min(request->deadline,
-                                      this->now + this->chosen.record_wait));
+    request->life_cycle.store();
+    this->set_timer(*request,
+                    std::min(request->deadline,
+                             this->now + this->host_settings.record_timeout));
 }
 
-void entry_reducer::on(upstream_failed const& happened)
+void entry_reducer::on(upstream_failed const& event)
 {
-    live_request* request = this->find(happened.request);
+    live_request* request = this->find(event.request);
     if (request == nullptr ||
-        (request->life.current() != request_state::running &&
-         request->life.current() != request_state::passing &&
-         request->life.current() != request_state::collecting))
+        (request->life_cycle.current() != request_state::running &&
+         request->life_cycle.current() != request_state::streaming &&
+         request->life_cycle.current() != request_state::collecting))
     {
         return;
     }
-    refusal_reason const reason = reason_of(happened.fault);
-    if (happened.fault == exchange_fault::connection_lost &&
-        happened.phase != exchange_phase::not_sent)
+    refusal_reason const reason = reason_of(event.fault);
+    if (event.fault == exchange_fault::connection_lost &&
+        event.phase != exchange_phase::not_sent)
     {
-        this->note_loss(*request);
+        this->record_loss(*request);
     }
-    this->free_slot(*request);
-    this->note_failure(*request);
-    if (request->life.current() == request_state::passing)
+    this->release_slot(*request);
+    this->record_failure(*request);
+    if (request->life_cycle.current() == request_state::streaming)
     {
         // The caller's connection breaks with the answer: it can see that
         // the answer is not whole.
@@ -159,28 +163,28 @@
         this->finish(*request);
         return;
     }
-    request->maybe_ran =
-        request->maybe_ran || happened.phase != exchange_phase::not_sent;
-    this->try_again(*request, reason,
-                    request->body_kept ||
-                        happened.phase == exchange_phase::not_sent);
+    request->may_have_run =
+        request->may_have_run || event.phase != exchange_phase::not_sent;
+    this->retry_or_end(*request, reason,
+                       request->body_kept ||
+                           event.phase == exchange_phase::not_sent);
 }
 
-void entry_reducer::try_again(live_request& request, refusal_reason reason,
-                              bool body_usable)
+void entry_reducer::retry_or_end(live_request& request, refusal_reason reason,
+                                 bool body_usable)
 {
     std::optional<duration> const pause =
-        this->ask_for_try(request, body_usable);
+        this->acquire_retry(request, body_usable);
     if (pause.has_value())
     {
-        ++this->counted.services[request.service].retries;
-        request.life.pause();
-        this->set_wake(request, this->now + *pause);
+        ++this->current_counters.services[request.service].retries;
+        request.life_cycle.pause();
+        this->set_timer(request, this->now + *pause);
         return;
     }
-    if (request.maybe_ran)
+    if (request.may_have_run)
     {
-        this->give_up_unknown(request, reason);
+        this->abandon_as_unknown(request, reason);
         return;
     }
     this->refuse(request, reason);
@@ -191,56 +195,57 @@
 /// caller gets the failure as it is.
 bool entry_reducer::retry_failed_answer(live_request& request)
 {
-    if (!request.repeatable || this->is_last_try(request))
+    if (!request.repeatable || this->is_last_attempt(request))
     {
         return false;
     }
-    request.maybe_ran = true;
+    request.may_have_run = true;
     std::optional<duration> const pause =
-        this->ask_for_try(request, request.body_kept);
+        this->acquire_retry(request, request.body_kept);
     if (!pause.has_value())
     {
         return false;
     }
-    ++this->counted.services[request.service].retries;
-    this->out.push_back(cancel_upstream{request.number});
-    this->free_slot(request);
-    request.life.pause();
-    this->set_wake(request, this->now + *pause);
+    ++this->current_counters.services[request.service].retries;
+    this->pending_effects.push_back(cancel_upstream{request.number});
+    this->release_slot(request);
+    request.life_cycle.pause();
+    this->set_timer(request, this->now + *pause);
     return true;
 }
 
-void entry_reducer::note_run(live_request const& request)
+void entry_reducer::record_run(live_request const& request)
 {
     service_state& state = this->state_of(request.service);
-    duration const took = this->now - request.sent;
+    duration const took = this->now - request.sent_at;
     duration const run =
         std::max(took - request.round_trip - request.expected_wait,
-                 took / least_run_share);
+                 took / min_run_divisor);
     duration const usual(static_cast<std::int64_t>(
         static_cast<double>(run.count()) / request.run_factor));
-    state.note_run(request.tried.back(), usual, request.object, this->now);
+    state.record_run(request.tried.back(), usual, request.object, this->now);
 }
 
-std::optional<duration> entry_reducer::ask_for_try(live_request& request,
-                                                   bool body_usable)
+std::optional<duration> entry_reducer::acquire_retry(live_request& request,
+                                                     bool body_usable)
 {
     // A request that may not be repeated is never sent again once a byte
     // may have reached an upstream; not even to "make sure".
     service_state& state = this->state_of(request.service);
     policy::retry_question question;
     question.idempotent = request.repeatable;
-    question.surely_not_run = !request.maybe_ran;
+    question.surely_not_run = !request.may_have_run;
     question.attempts = static_cast<unsigned>(request.tried.size());
     question.deadline = request.deadline;
-    question.needed = this->chosen.waiting == config::waiting_place::upstream
-                          ? state.usual_run()
-                          : state.usual_answer();
-    bool const tries_left = request.most_attempts == 0 ||
-                            request.tried.size() < request.most_attempts;
+    question.needed =
+        this->host_settings.waiting == config::waiting_place::upstream
+            ? state.usual_run()
+            : state.usual_answer();
+    bool const attempts_left = request.max_attempts == 0 ||
+                               request.tried.size() < request.max_attempts;
     bool const may_run = !this->crash_refusal(request).has_value();
-    if (!tries_left || !may_run || !body_usable || request.answered ||
-        !state.takes_work(request.reached, this->now))
+    if (!attempts_left || !may_run || !body_usable || request.caller_done ||
+        !state.accepts_work(request.reachable, this->now))
     {
         return std::nullopt;
     }
@@ -249,33 +254,33 @@
 
 void entry_reducer::expire_run(live_request& request)
 {
-    if (request.answered)
+    if (request.caller_done)
     {
         return;
     }
-    request.maybe_ran = true;
+    request.may_have_run = true;
     if (request.guarded)
     {
         // The caller hears at once that the outcome is unknown; the work
         // goes on for its record until it falls silent.
-        request.answered = true;
+        request.caller_done = true;
         request.outcome = request_outcome::unknown;
         request.reason = refusal_reason::deadline;
-        this->out.push_back(
+        this->pending_effects.push_back(
             answer_unknown{request.number, refusal_reason::deadline, {}});
         this->count_end(request, &service_counters::unknown);
-        ++this->counted.refusals.at(
+        ++this->current_counters.refusals.at(
             static_cast<std::size_t>(refusal_reason::deadline));
         return;
     }
-    this->out.push_back(cancel_upstream{request.number});
-    this->note_failure(request);
-    this->free_slot(request);
-    this->try_again(request,
-                    this->now < request.deadline
-                        ? refusal_reason::upstream_silent
-                        : refusal_reason::deadline,
-                    request.body_kept);
+    this->pending_effects.push_back(cancel_upstream{request.number});
+    this->record_failure(request);
+    this->release_slot(request);
+    this->retry_or_end(request,
+                       this->now < request.deadline
+                           ? refusal_reason::upstream_silent
+                           : refusal_reason::deadline,
+                       request.body_kept);
 }
 
 } // namespace bilberrylead::entry
--- a/bilberrylead/entry/entry_settings.hpp
+++ b/bilberrylead/entry/entry_settings.hpp
@@ -30,7 +30,7 @@
     std::vector<config::place> places;
     /// One-way latency between regions that have no link configured, where
     /// `places` are used.
-    duration region_latency{};
+    duration default_region_latency{};
     /// True if upstreams come from a list: without it there are none, and
     /// this host is not ready.
     bool upstreams_are_listed = false;
@@ -57,10 +57,10 @@
     /// How long a collected answer waits for its record to be durable
     /// before the caller gets it all the same. About three quorum round
     /// trips between regions 35 ms apart.
-    duration record_wait = std::chrono::milliseconds(250);
+    duration record_timeout = std::chrono::milliseconds(250);
     /// How long an upstream that said it is leaving gets no new work while
     /// the configuration does not say so yet.
-    duration leaving_memory = std::chrono::minutes(10);
+    duration leaving_retention = std::chrono::minutes(10);
     /// How long callers may use a steering answer. Short, so that a drain
     /// is over soon; long enough that steering stays a small part of load.
     duration steering_ttl = std::chrono::seconds(5);
--- a/bilberrylead/entry/event.hpp
+++ b/bilberrylead/entry/event.hpp
@@ -68,7 +68,7 @@
     /// Their number; at least 1.
     std::uint64_t hosts = 1;
     /// The most of them that stand in one region; at least 1.
-    std::uint64_t in_a_region = 1;
+    std::uint64_t max_per_region = 1;
 };
 
 /// A caller's request is here: its head, and of its body as much as the
@@ -171,7 +171,7 @@
     /// The connection was lost.
     connection_lost,
     /// Nothing came for too long.
-    silent,
+    no_response,
     /// What came was no valid answer.
     bad_answer,
 };
@@ -229,11 +229,11 @@
 enum class probe_outcome
 {
     /// It took one.
-    taken,
+    accepted,
     /// It refused one: nothing listens at its address.
     refused,
     /// Nothing came.
-    silent,
+    no_response,
 };
 
 /// A connection to an upstream was tried, to see whether it ended.
@@ -246,7 +246,7 @@
 };
 
 /// Another host tells under which requests upstreams ended.
-struct crash_records_heard
+struct crash_records_received
 {
     /// The link that it came by.
     std::uint64_t from = 0;
@@ -255,7 +255,7 @@
 };
 
 /// Another entry host tells what it sent to upstreams that name a limit.
-struct limits_heard
+struct limits_received
 {
     /// That host.
     host_id sender;
@@ -269,7 +269,7 @@
     upstream_head_received, upstream_answer_finished, upstream_failed,
     caller_gone, load_reported, tick, drain_requested, control_reachable,
     control_unreachable, upstreams_listed, entry_hosts_counted, regions_planned,
-    upstream_probed, crash_records_heard, limits_heard>;
+    upstream_probed, crash_records_received, limits_received>;
 
 } // namespace bilberrylead::entry
 
--- a/bilberrylead/entry/live_request.hpp
+++ b/bilberrylead/entry/live_request.hpp
@@ -27,11 +27,11 @@
     /// Its number.
     request_number number{};
     /// Where it is on its way.
-    request_life_cycle life;
+    request_life_cycle life_cycle;
     /// The service, as it was configured when the request came.
     service_id service;
     /// Upstreams it may be sent to; 0 goes by the retry budget's settings.
-    std::uint32_t most_attempts = 0;
+    std::uint32_t max_attempts = 0;
     /// Regions it may be served in; empty is everywhere.
     std::vector<region_id> regions;
     /// Revision by which its route was found.
@@ -43,7 +43,7 @@
     /// Hash of the object it is about; 0 if none.
     std::uint64_t object = 0;
     /// When its answer is worth less to its caller.
-    instant aim = instant::max();
+    instant latency_target = instant::max();
     /// Number of the region it is to run in; chosen once, so that another
     /// try does not count as another request there.
     std::optional<std::uint32_t> region;
@@ -71,30 +71,30 @@
     /// The piece of work, if guarded.
     once::claim_key claim;
     /// Which upstreams its caller reaches, in the configuration in force.
-    reach reached;
+    reach reachable;
     /// Hash of its caller: requests of one flow take turns.
     std::uint32_t flow = 0;
     /// When it came.
-    instant arrived{};
+    instant arrived_at{};
     /// When it was last sent.
-    instant sent{};
+    instant sent_at{};
     /// When its caller stops waiting.
     instant deadline{};
     /// When it must be looked at again: the end of a try, the deadline, or
     /// the end of the wait for its record.
-    instant wake{};
+    instant timer{};
     /// Upstreams it was sent to; the last one holds it while it runs.
     std::vector<upstream_id> tried;
     /// Address of the last one.
     config::endpoint sent_to;
     /// True once a byte may have reached an upstream that did not take it
     /// back.
-    bool maybe_ran = false;
+    bool may_have_run = false;
     /// True while an earlier sending of the same request may have run: the
     /// caller had no answer to it. A caller that heard "not run" would take
     /// that for both, and do the work again under another key. A granted
     /// claim clears it, since the records know of no run then.
-    bool maybe_ran_before = false;
+    bool earlier_may_have_run = false;
     /// How it ends, as far as that is known.
     request_outcome outcome = request_outcome::answered;
     /// Why, unless it was answered.
@@ -102,10 +102,10 @@
     /// Status of the upstream's answer; 0 before.
     std::uint16_t status = 0;
     /// Time from the last sending to the answer's head.
-    duration answered_after{};
+    duration time_to_head{};
     /// True once the caller has its final answer or is gone, while guarded
     /// work goes on for its record.
-    bool answered = false;
+    bool caller_done = false;
 };
 
 } // namespace bilberrylead::entry
--- a/bilberrylead/entry/request_life_cycle.cpp
+++ b/bilberrylead/entry/request_life_cycle.cpp
@@ -28,7 +28,7 @@
 struct send_step
 {
 };
-struct pass_step
+struct stream_step
 {
 };
 struct collect_step
@@ -42,7 +42,7 @@
 /// table starts from, by their first row, then those without a way on.
 constexpr std::array state_of_number = {
     request_state::pausing, request_state::claiming,   request_state::waiting,
-    request_state::running, request_state::collecting, request_state::passing,
+    request_state::running, request_state::collecting, request_state::streaming,
     request_state::storing};
 
 struct request_front : front::state_machine_def<request_front>
@@ -59,7 +59,7 @@
     struct running : front::state<>
     {
     };
-    struct passing : front::state<>
+    struct streaming : front::state<>
     {
     };
     struct collecting : front::state<>
@@ -77,7 +77,7 @@
         row<pausing, claim_step, claiming>, row<pausing, wait_step, waiting>,
         row<claiming, pause_step, pausing>, row<waiting, pause_step, pausing>,
         row<waiting, send_step, running>, row<running, pause_step, pausing>,
-        row<running, pass_step, passing>,
+        row<running, stream_step, streaming>,
         row<running, collect_step, collecting>,
         row<collecting, store_step, storing>>;
 
@@ -95,9 +95,10 @@
 {
 };
 
-request_life_cycle::request_life_cycle() : cycle(std::make_unique<machine>())
+request_life_cycle::request_life_cycle()
+    : state_machine(std::make_unique<machine>())
 {
-    this->cycle->start();
+    this->state_machine->start();
 }
 
 request_life_cycle::~request_life_cycle() = default;
@@ -109,42 +110,42 @@
 request_state request_life_cycle::current() const
 {
     return state_of_number.at(
-        static_cast<std::size_t>(this->cycle->current_state()[0]));
+        static_cast<std::size_t>(this->state_machine->current_state()[0]));
 }
 
 void request_life_cycle::claim()
 {
-    this->cycle->process_event(claim_step{});
+    this->state_machine->process_event(claim_step{});
 }
 
 void request_life_cycle::wait()
 {
-    this->cycle->process_event(wait_step{});
+    this->state_machine->process_event(wait_step{});
 }
 
 void request_life_cycle::pause()
 {
-    this->cycle->process_event(pause_step{});
+    this->state_machine->process_event(pause_step{});
 }
 
 void request_life_cycle::send()
 {
-    this->cycle->process_event(send_step{});
+    this->state_machine->process_event(send_step{});
 }
 
-void request_life_cycle::pass()
+void request_life_cycle::stream()
 {
-    this->cycle->process_event(pass_step{});
+    this->state_machine->process_event(stream_step{});
 }
 
 void request_life_cycle::collect()
 {
-    this->cycle->process_event(collect_step{});
+    this->state_machine->process_event(collect_step{});
 }
 
 void request_life_cycle::store()
 {
-    this->cycle->process_event(store_step{});
+    this->state_machine->process_event(store_step{});
 }
 
 } // namespace bilberrylead::entry
--- a/bilberrylead/entry/request_life_cycle.hpp
+++ b/bilberrylead/entry/request_life_cycle.hpp
@@ -32,7 +32,7 @@
     /// It was sent.
     void send();
     /// Its answer streams to the caller.
-    void pass();
+    void stream();
     /// Its answer is being collected.
     void collect();
     /// Its collected answer is to be recorded.
@@ -40,7 +40,7 @@
 
 private:
     class machine;
-    std::unique_ptr<machine> cycle;
+    std::unique_ptr<machine> state_machine;
 };
 
 } // namespace bilberrylead::entry
--- a/bilberrylead/entry/request_state.hpp
+++ b/bilberrylead/entry/request_state.hpp
@@ -16,7 +16,7 @@
     /// Sent to an upstream, no answer yet.
     running,
     /// The upstream's answer streams to the caller.
-    passing,
+    streaming,
     /// The upstream's answer is being collected for the record.
     collecting,
     /// The collected answer waits for its record to be durable.
--- a/bilberrylead/entry/routing_table.cpp
+++ b/bilberrylead/entry/routing_table.cpp
@@ -15,21 +15,21 @@
 namespace
 {
 
-bool matches(config::labels const& wanted, config::labels const* carried)
+bool matches(config::labels const& required, config::labels const* actual)
 {
-    if (wanted.empty())
+    if (required.empty())
     {
         return true;
     }
-    if (carried == nullptr)
+    if (actual == nullptr)
     {
         return false;
     }
-    return std::all_of(wanted.begin(), wanted.end(),
-                       [carried](config::labels::value_type const& pair)
+    return std::all_of(required.begin(), required.end(),
+                       [actual](config::labels::value_type const& pair)
                        {
-                           auto const found = carried->find(pair.first);
-                           return found != carried->end() &&
+                           auto const found = actual->find(pair.first);
+                           return found != actual->end() &&
                                   found->second == pair.second;
                        });
 }
@@ -39,22 +39,22 @@
 routing_table::routing_table(
     std::shared_ptr<config::configuration const> accepted,
     entry_settings const& settings,
-    std::shared_ptr<std::vector<discovery::listed_upstream> const> from_list)
-    : content(std::move(accepted)), listed(std::move(from_list))
+    std::shared_ptr<std::vector<discovery::listed_upstream> const> listed)
+    : content(std::move(accepted)), upstream_list(std::move(listed))
 {
     assert(this->content != nullptr);
-    bool const has_places = !this->content->places.empty();
+    bool const configuration_has_places = !this->content->places.empty();
     for (config::place const& place :
-         has_places ? this->content->places : settings.places)
+         configuration_has_places ? this->content->places : settings.places)
     {
-        this->regions[place.zone] = place.region;
+        this->zone_regions[place.zone] = place.region;
     }
-    if (!has_places && !settings.places.empty())
+    if (!configuration_has_places && !settings.places.empty())
     {
-        this->assumed_latency = settings.region_latency;
+        this->default_latency = settings.default_region_latency;
     }
-    this->arrange_routes();
-    this->arrange_listed();
+    this->index_routes();
+    this->index_listed_upstreams();
     for (config::service const& service : this->content->services)
     {
         this->services[service.id] = &service;
@@ -67,18 +67,18 @@
     {
         this->selectors[selector.service].push_back(&selector);
     }
-    this->arrange_blocks();
+    this->index_blocks();
 }
 
-void routing_table::arrange_routes()
+void routing_table::index_routes()
 {
     for (config::request_route const& route : this->content->request_routes)
     {
         this->routes[route.host].push_back(&route);
     }
-    for (auto& [host, of_host] : this->routes)
+    for (auto& [host, host_routes] : this->routes)
     {
-        std::sort(of_host.begin(), of_host.end(),
+        std::sort(host_routes.begin(), host_routes.end(),
                   [](config::request_route const* one,
                      config::request_route const* other)
                   {
@@ -88,13 +88,13 @@
     }
 }
 
-void routing_table::arrange_listed()
+void routing_table::index_listed_upstreams()
 {
-    if (this->listed == nullptr)
+    if (this->upstream_list == nullptr)
     {
         return;
     }
-    for (discovery::listed_upstream const& each : *this->listed)
+    for (discovery::listed_upstream const& each : *this->upstream_list)
     {
         this->upstreams[each.upstream.service].push_back(&each.upstream);
         this->listed_by_id[each.upstream.id] = &each;
@@ -104,12 +104,12 @@
 config::request_route const*
 routing_table::find_route(std::string const& host, std::string_view path) const
 {
-    auto const of_host = this->routes.find(host);
-    if (of_host == this->routes.end())
+    auto const host_routes = this->routes.find(host);
+    if (host_routes == this->routes.end())
     {
         return nullptr;
     }
-    for (config::request_route const* route : of_host->second)
+    for (config::request_route const* route : host_routes->second)
     {
         if (path.starts_with(route->path_prefix))
         {
@@ -120,13 +120,13 @@
 }
 
 discovery::listed_upstream const*
-routing_table::find_listed(upstream_id const& id) const
+routing_table::find_listed_upstream(upstream_id const& id) const
 {
     auto const found = this->listed_by_id.find(id);
     return found == this->listed_by_id.end() ? nullptr : found->second;
 }
 
-void routing_table::arrange_blocks()
+void routing_table::index_blocks()
 {
     std::vector<steering::valued_block> valued;
     valued.reserve(this->content->callers.size());
@@ -167,7 +167,8 @@
     return found == this->upstreams.end() ? none : found->second;
 }
 
-caller_place routing_table::place_of(std::string const& caller_address) const
+caller_location
+routing_table::locate_caller(std::string const& caller_address) const
 {
     absl::StatusOr<steering::ip_address> const address =
         steering::ip_address::parse(caller_address);
@@ -185,8 +186,8 @@
     return {block.zone, &block.labels};
 }
 
-bool routing_table::reaches(caller_place const& caller,
-                            config::upstream const& upstream) const
+bool routing_table::can_reach(caller_location const& caller,
+                              config::upstream const& upstream) const
 {
     auto const found = this->selectors.find(upstream.service);
     if (found == this->selectors.end())
@@ -204,8 +205,8 @@
 
 region_id routing_table::region_of(zone_id const& zone) const
 {
-    auto const found = this->regions.find(zone);
-    return found == this->regions.end() ? region_id() : found->second;
+    auto const found = this->zone_regions.find(zone);
+    return found == this->zone_regions.end() ? region_id() : found->second;
 }
 
 duration routing_table::latency_between(region_id const& one,
@@ -219,7 +220,7 @@
             return link.latency;
         }
     }
-    return one == other ? duration::zero() : this->assumed_latency;
+    return one == other ? duration::zero() : this->default_latency;
 }
 
 duration routing_table::distance(zone_id const& from, zone_id const& to) const
@@ -235,7 +236,7 @@
 {
     struct ranked
     {
-        int distance = 0;
+        int tier = 0;
         duration latency{};
         config::entry_host const* host = nullptr;
     };
@@ -247,27 +248,27 @@
         {
             continue;
         }
-        region_id const its_region = this->region_of(host.zone);
-        bool const same_region = its_region == region && !region.empty();
-        int const distance = host.zone == zone ? 0 : same_region ? 1 : 2;
-        duration const latency = distance == 2
-                                     ? this->latency_between(region, its_region)
-                                     : duration::zero();
-        order.push_back({distance, latency, &host});
+        region_id const host_region = this->region_of(host.zone);
+        bool const same_region = host_region == region && !region.empty();
+        int const tier = host.zone == zone ? 0 : same_region ? 1 : 2;
+        duration const latency =
+            tier == 2 ? this->latency_between(region, host_region)
+                      : duration::zero();
+        order.push_back({tier, latency, &host});
     }
     std::sort(order.begin(), order.end(),
               [](ranked const& one, ranked const& other)
               {
-                  return std::tie(one.distance, one.latency, other.host->weight,
+                  return std::tie(one.tier, one.latency, other.host->weight,
                                   one.host->id) <
-                         std::tie(other.distance, other.latency,
-                                  one.host->weight, other.host->id);
+                         std::tie(other.tier, other.latency, one.host->weight,
+                                  other.host->id);
               });
     std::vector<config::entry_host const*> hosts;
     hosts.reserve(order.size());
-    for (ranked const& row : order)
+    for (ranked const& candidate : order)
     {
-        hosts.push_back(row.host);
+        hosts.push_back(candidate.host);
     }
     return hosts;
 }
--- a/bilberrylead/entry/routing_table.hpp
+++ b/bilberrylead/entry/routing_table.hpp
@@ -17,7 +17,7 @@
 {
 
 /// Where a caller is and what selectors match of it.
-struct caller_place
+struct caller_location
 {
     /// Its availability zone; empty if no block holds its address.
     zone_id zone;
@@ -53,7 +53,8 @@
 
     /// What the list says of an upstream besides its configuration; null if
     /// it does not come from the list.
-    discovery::listed_upstream const* find_listed(upstream_id const& id) const;
+    discovery::listed_upstream const*
+    find_listed_upstream(upstream_id const& id) const;
 
     /// The region of a zone; empty if nobody names it.
     region_id region_of(zone_id const& zone) const;
@@ -66,11 +67,11 @@
     upstreams_of(service_id const& id) const;
 
     /// Where a caller's address is.
-    caller_place place_of(std::string const& caller_address) const;
+    caller_location locate_caller(std::string const& caller_address) const;
 
     /// True if the selectors let that caller reach that upstream.
-    bool reaches(caller_place const& caller,
-                 config::upstream const& upstream) const;
+    bool can_reach(caller_location const& caller,
+                   config::upstream const& upstream) const;
 
     /// One-way latency from one availability zone to another, zero within
     /// one and where no link is configured.
@@ -88,22 +89,23 @@
     entry_hosts_for(zone_id const& zone) const;
 
     /// The configuration behind it.
-    config::configuration const& source() const
+    config::configuration const& configuration() const
     {
         return *this->content;
     }
 
 private:
-    void arrange_routes();
-    void arrange_listed();
-    void arrange_blocks();
+    void index_routes();
+    void index_listed_upstreams();
+    void index_blocks();
     duration latency_between(region_id const& one,
                              region_id const& other) const;
 
     std::shared_ptr<config::configuration const> content;
-    std::shared_ptr<std::vector<discovery::listed_upstream> const> listed;
-    std::unordered_map<zone_id, region_id> regions;
-    duration assumed_latency = duration::max();
+    std::shared_ptr<std::vector<discovery::listed_upstream> const>
+        upstream_list;
+    std::unordered_map<zone_id, region_id> zone_regions;
+    duration default_latency = duration::max();
     // Each host's routes with the longest prefix first.
     std::unordered_map<std::string, std::vector<config::request_route const*>>
         routes;
--- a/bilberrylead/entry/service_state.cpp
+++ b/bilberrylead/entry/service_state.cpp
@@ -14,13 +14,13 @@
 namespace
 {
 
-constexpr duration brief_guess = std::chrono::milliseconds(20);
-constexpr duration extended_guess = std::chrono::seconds(2);
+constexpr duration initial_brief_time = std::chrono::milliseconds(20);
+constexpr duration initial_extended_time = std::chrono::seconds(2);
 /// Runs before the first one was seen.
-constexpr duration run_guess = std::chrono::milliseconds(100);
+constexpr duration initial_run_time = std::chrono::milliseconds(100);
 /// Share of requests whose answer begins within the reserve. With the mean
 /// every second request that is let in at the limit would be late.
-constexpr double reserve_share = 0.99;
+constexpr double reserve_quantile = 0.99;
 /// Weight of one 10 ms check in the mean of slots held: about a second.
 constexpr double average_weight = 0.01;
 
@@ -42,11 +42,12 @@
 service_state::service_state(config::work_length usual_length,
                              std::uint64_t seed,
                              policy::placement_settings const& placing)
-    : random(seed), length(usual_length), placement(placing),
-      usual(run_guess, 0),
-      held(usual_length == config::work_length::brief ? brief_guess
-                                                      : extended_guess),
-      answered(brief_guess)
+    : random(seed), work_length(usual_length), placement(placing),
+      usual_load(initial_run_time, 0),
+      slot_time(usual_length == config::work_length::brief
+                    ? initial_brief_time
+                    : initial_extended_time),
+      answer_time(initial_brief_time)
 {
 }
 
@@ -54,74 +55,77 @@
 {
     assert(this->waiting() == 0);
     this->queues.clear();
-    this->configured = std::move(upstreams);
+    this->configured_upstreams = std::move(upstreams);
     std::unordered_set<upstream_id> present;
-    present.reserve(this->configured.size());
-    for (configured_upstream const& each : this->configured)
+    present.reserve(this->configured_upstreams.size());
+    for (configured_upstream const& each : this->configured_upstreams)
     {
         present.insert(each.upstream->id);
     }
     std::erase_if(this->records,
-                  [&present](auto const& known)
+                  [&present](auto const& record)
                   {
-                      return known.second.in_flight == 0 &&
-                             !present.contains(known.first);
+                      return record.second.in_flight == 0 &&
+                             !present.contains(record.first);
                   });
-    this->configured_records.clear();
-    for (configured_upstream const& each : this->configured)
+    this->upstream_records.clear();
+    for (configured_upstream const& each : this->configured_upstreams)
     {
-        upstream_record& known =
+        upstream_record& record =
             this->records.try_emplace(each.upstream->id, each.upstream->slots)
                 .first->second;
         // Records stay where they are until they are erased above.
-        this->configured_records.push_back(&known);
-        known.cold_until = std::max(known.cold_until, each.cold_until);
-        known.region = each.region;
-        known.hash = std::hash<upstream_id>{}(each.upstream->id);
+        this->upstream_records.push_back(&record);
+        record.cold_until = std::max(record.cold_until, each.cold_until);
+        record.region = each.region;
+        record.hash = std::hash<upstream_id>{}(each.upstream->id);
     }
 }
 
-std::vector<std::uint64_t> service_state::take_waiting(instant now)
+std::vector<std::uint64_t> service_state::remove_waiting(instant now)
 {
-    policy::slot_pool endless;
-    endless.usable = 1;
-    endless.free = 1;
-    std::vector<std::uint64_t> taken_out;
-    for (auto& [reached, queue] : this->queues)
+    policy::slot_pool unlimited_pool;
+    unlimited_pool.usable = 1;
+    unlimited_pool.free = 1;
+    std::vector<std::uint64_t> removed;
+    for (auto& [reachable, queue] : this->queues)
     {
         while (std::optional<policy::waiting_request> const each =
-                   queue.next(endless, now))
+                   queue.next(unlimited_pool, now))
         {
-            taken_out.push_back(each->ticket);
+            removed.push_back(each->ticket);
         }
     }
-    std::sort(taken_out.begin(), taken_out.end());
-    return taken_out;
+    std::sort(removed.begin(), removed.end());
+    return removed;
 }
 
-upstream_record& service_state::record(upstream_id const& id)
+upstream_record& service_state::record_of(upstream_id const& id)
 {
     return this->records.try_emplace(id, 1).first->second;
 }
 
-bool service_state::reaches(reach const& reached, std::size_t place) const
+bool service_state::is_reachable(reach const& reachable,
+                                 std::size_t index) const
 {
-    return reached.empty() || reached[place];
+    return reachable.empty() || reachable[index];
 }
 
-bool service_state::open(std::size_t place, instant now) const
+bool service_state::is_open(std::size_t index, instant now) const
 {
-    config::upstream const& upstream = *this->configured[place].upstream;
-    upstream_record const& known = *this->configured_records[place];
-    return !upstream.leaving && !this->configured[place].closed &&
-           known.leaving_until <= now && known.health.usable_slots() > 0;
+    config::upstream const& upstream =
+        *this->configured_upstreams[index].upstream;
+    upstream_record const& record = *this->upstream_records[index];
+    return !upstream.leaving && !this->configured_upstreams[index].closed &&
+           record.leaving_until <= now && record.health.usable_slots() > 0;
 }
 
-bool service_state::takes_work(reach const& reached, instant now) const
+bool service_state::accepts_work(reach const& reachable, instant now) const
 {
-    for (std::size_t place = 0; place < this->configured.size(); ++place)
+    for (std::size_t index = 0; index < this->configured_upstreams.size();
+         ++index)
     {
-        if (this->reaches(reached, place) && this->open(place, now))
+        if (this->is_reachable(reachable, index) && this->is_open(index, now))
         {
             return true;
         }
@@ -129,47 +133,50 @@
     return false;
 }
 
-policy::slot_pool service_state::pool(reach const& reached, instant now) const
+policy::slot_pool service_state::make_pool(reach const& reachable,
+                                           instant now) const
 {
     policy::slot_pool found;
-    for (std::size_t place = 0; place < this->configured.size(); ++place)
+    for (std::size_t index = 0; index < this->configured_upstreams.size();
+         ++index)
     {
-        if (!this->reaches(reached, place) || !this->open(place, now))
+        if (!this->is_reachable(reachable, index) || !this->is_open(index, now))
         {
             continue;
         }
-        upstream_record const& known = *this->configured_records[place];
-        std::uint32_t const usable = known.health.usable_slots();
+        upstream_record const& record = *this->upstream_records[index];
+        std::uint32_t const usable = record.health.usable_slots();
         found.usable += usable;
-        if (known.limit.has_token(now))
+        if (record.limit.has_token(now))
         {
-            found.free += usable - std::min(usable, known.in_flight);
+            found.free += usable - std::min(usable, record.in_flight);
         }
     }
-    found.brief_average = this->average_taken;
-    found.brief_time = this->held.mean();
+    found.brief_average = this->average_slots_held;
+    found.brief_time = this->slot_time.mean();
     found.brief_reserve = this->usual_answer();
     return found;
 }
 
-policy::admission_queue& service_state::queue(reach const& reached)
+policy::admission_queue& service_state::queue_for(reach const& reachable)
 {
-    return this->queues.try_emplace(reached, settings_for(this->length))
+    return this->queues.try_emplace(reachable, settings_for(this->work_length))
         .first->second;
 }
 
 policy::admission_verdict
 service_state::offer(policy::waiting_request const& request,
-                     reach const& reached, instant now)
+                     reach const& reachable, instant now)
 {
-    return this->queue(reached).offer(request, this->pool(reached, now), now);
+    return this->queue_for(reachable).offer(
+        request, this->make_pool(reachable, now), now);
 }
 
-duration service_state::expected_wait(std::uint32_t flow, reach const& reached,
-                                      instant now)
+duration service_state::expected_wait(std::uint32_t flow,
+                                      reach const& reachable, instant now)
 {
-    return this->queue(reached).expected_wait(flow, this->pool(reached, now),
-                                              now);
+    return this->queue_for(reachable).expected_wait(
+        flow, this->make_pool(reachable, now), now);
 }
 
 std::optional<std::uint64_t> service_state::next(instant now)
@@ -178,15 +185,16 @@
     // behind all the others.
     for (std::size_t step = 0; step < this->queues.size(); ++step)
     {
-        this->turn = (this->turn + 1) % this->queues.size();
-        auto const place = std::next(this->queues.begin(),
-                                     static_cast<std::ptrdiff_t>(this->turn));
-        if (place->second.size() == 0)
+        this->last_queue = (this->last_queue + 1) % this->queues.size();
+        auto const entry =
+            std::next(this->queues.begin(),
+                      static_cast<std::ptrdiff_t>(this->last_queue));
+        if (entry->second.size() == 0)
         {
             continue;
         }
         std::optional<policy::waiting_request> const first =
-            place->second.next(this->pool(place->first, now), now);
+            entry->second.next(this->make_pool(entry->first, now), now);
         if (first.has_value())
         {
             return first->ticket;
@@ -197,14 +205,14 @@
 
 std::optional<std::uint64_t> service_state::next_expired(instant now)
 {
-    for (auto& [reached, queue] : this->queues)
+    for (auto& [reachable, queue] : this->queues)
     {
         if (queue.size() == 0)
         {
             continue;
         }
         std::optional<policy::waiting_request> const late =
-            queue.next_expired(this->pool(reached, now), now);
+            queue.next_expired(this->make_pool(reachable, now), now);
         if (late.has_value())
         {
             return late->ticket;
@@ -213,167 +221,173 @@
     return std::nullopt;
 }
 
-void service_state::cancel(std::uint64_t ticket, reach const& reached)
+void service_state::cancel(std::uint64_t ticket, reach const& reachable)
 {
-    this->queue(reached).cancel(ticket);
+    this->queue_for(reachable).cancel(ticket);
 }
 
-void service_state::fill_views(reach const& reached,
-                               std::vector<upstream_id> const& left_out,
+void service_state::fill_views(reach const& reachable,
+                               std::vector<upstream_id> const& excluded,
                                instant now)
 {
-    this->views.upstreams.resize(this->configured.size());
-    for (std::size_t place = 0; place < this->configured.size(); ++place)
+    this->views.upstreams.resize(this->configured_upstreams.size());
+    for (std::size_t index = 0; index < this->configured_upstreams.size();
+         ++index)
     {
-        config::upstream const& upstream = *this->configured[place].upstream;
-        upstream_record const& known = *this->configured_records[place];
-        policy::upstream_view& view = this->views.upstreams[place];
+        config::upstream const& upstream =
+            *this->configured_upstreams[index].upstream;
+        upstream_record const& record = *this->upstream_records[index];
+        policy::upstream_view& view = this->views.upstreams[index];
         view.slots = upstream.slots;
-        view.usable_slots = known.health.usable_slots();
-        view.in_flight = known.in_flight;
-        view.in_use_by_others = known.in_use_by_others;
+        view.usable_slots = record.health.usable_slots();
+        view.in_flight = record.in_flight;
+        view.in_use_by_others = record.in_use_by_others;
         view.report_age =
-            known.is_reported ? now - known.reported_at : duration::max();
-        view.service_time = known.held.mean();
-        view.distance = this->configured[place].distance;
-        view.condition = known.health.condition();
-        view.leaving = !this->open(place, now);
+            record.is_reported ? now - record.reported_at : duration::max();
+        view.service_time = record.slot_time.mean();
+        view.distance = this->configured_upstreams[index].distance;
+        view.condition = record.health.condition();
+        view.leaving = !this->is_open(index, now);
         // What is beyond the slots would wait behind one, where it can be
         // neither moved nor refused in time.
-        view.allowed =
-            this->reaches(reached, place) && known.limit.has_token(now) &&
-            known.in_flight < view.usable_slots &&
-            std::find(left_out.begin(), left_out.end(), upstream.id) ==
-                left_out.end();
+        view.allowed = this->is_reachable(reachable, index) &&
+                       record.limit.has_token(now) &&
+                       record.in_flight < view.usable_slots &&
+                       std::find(excluded.begin(), excluded.end(),
+                                 upstream.id) == excluded.end();
     }
 }
 
 std::optional<std::size_t>
-service_state::pick(reach const& reached,
-                    std::vector<upstream_id> const& left_out, instant now)
+service_state::choose_excluding(reach const& reachable,
+                                std::vector<upstream_id> const& excluded,
+                                instant now)
 {
-    this->fill_views(reached, left_out, now);
+    this->fill_views(reachable, excluded, now);
     return this->choice.choose(this->views, now, this->random);
 }
 
 config::upstream const*
-service_state::choose(reach const& reached,
+service_state::choose(reach const& reachable,
                       std::vector<upstream_id> const& tried, instant now)
 {
-    std::optional<std::size_t> found = this->pick(reached, tried, now);
+    std::optional<std::size_t> found =
+        this->choose_excluding(reachable, tried, now);
     if (!found.has_value() && !tried.empty())
     {
         // Once all were tried, one of them may have room by now, or take a
         // new connection where the old one was dead.
-        found = this->pick(reached, {}, now);
+        found = this->choose_excluding(reachable, {}, now);
     }
-    return found.has_value() ? this->configured[*found].upstream : nullptr;
+    return found.has_value() ? this->configured_upstreams[*found].upstream
+                             : nullptr;
 }
 
-void service_state::take_slot(upstream_id const& id, instant now)
+void service_state::acquire_slot(upstream_id const& id, instant now)
 {
-    upstream_record& known = this->record(id);
-    if (now < known.cold_until)
+    upstream_record& record = this->record_of(id);
+    if (now < record.cold_until)
     {
-        known.cold_tokens.take(this->cold.requests_per_second, now);
+        record.cold_tokens.take(this->cold.requests_per_second, now);
     }
-    if (known.limit.limits(now))
+    if (record.limit.limits(now))
     {
-        known.limit.take(now, this->random);
-        this->untold_limits.insert(id);
+        record.limit.take(now, this->random);
+        this->unsent_limits.insert(id);
     }
-    ++known.in_flight;
-    ++this->taken;
+    ++record.in_flight;
+    ++this->slots_held;
 }
 
-void service_state::free_slot(upstream_id const& id)
+void service_state::release_slot(upstream_id const& id)
 {
-    upstream_record& known = this->record(id);
-    assert(known.in_flight > 0 && this->taken > 0);
-    --known.in_flight;
-    --this->taken;
+    upstream_record& record = this->record_of(id);
+    assert(record.in_flight > 0 && this->slots_held > 0);
+    --record.in_flight;
+    --this->slots_held;
 }
 
-void service_state::note_answer(upstream_id const& id, duration took,
-                                instant now)
+void service_state::record_answer(upstream_id const& id, duration took,
+                                  instant now)
 {
-    this->answered.add(took);
+    this->answer_time.add(took);
     this->budget.succeeded();
-    this->record(id).health.reduce(policy::upstream_answered{}, now);
+    this->record_of(id).health.reduce(policy::upstream_answered{}, now);
 }
 
-void service_state::note_held(upstream_id const& id, duration time)
+void service_state::record_slot_time(upstream_id const& id, duration time)
 {
-    this->held.add(time);
-    this->record(id).held.add(time);
+    this->slot_time.add(time);
+    this->record_of(id).slot_time.add(time);
 }
 
-void service_state::note_failure(upstream_id const& id, instant now)
+void service_state::record_failure(upstream_id const& id, instant now)
 {
-    upstream_record& known = this->record(id);
-    bool const room =
-        policy::may_eject(known.health.usable_slots(),
-                          this->pool({}, now).usable, this->average_taken);
-    known.health.reduce(policy::upstream_failed{room}, now);
+    upstream_record& record = this->record_of(id);
+    bool const has_capacity = policy::may_eject(record.health.usable_slots(),
+                                                this->make_pool({}, now).usable,
+                                                this->average_slots_held);
+    record.health.reduce(policy::upstream_failed{has_capacity}, now);
 }
 
-void service_state::note_refusal(upstream_id const& id, instant now)
+void service_state::record_refusal(upstream_id const& id, instant now)
 {
-    upstream_record& known = this->record(id);
+    upstream_record& record = this->record_of(id);
     std::uint32_t slots = 1;
-    for (configured_upstream const& each : this->configured)
+    for (configured_upstream const& each : this->configured_upstreams)
     {
         if (each.upstream->id == id)
         {
             slots = each.upstream->slots;
         }
     }
-    known.in_use_by_others = slots - std::min(slots, known.in_flight);
-    known.reported_at = now;
-    known.is_reported = true;
-    known.estimate.turned_away(slots, known.in_flight, now);
+    record.in_use_by_others = slots - std::min(slots, record.in_flight);
+    record.reported_at = now;
+    record.is_reported = true;
+    record.estimate.turned_away(slots, record.in_flight, now);
 }
 
-void service_state::note_report(upstream_id const& id,
-                                std::uint32_t slots_in_use, instant now)
+void service_state::record_load_report(upstream_id const& id,
+                                       std::uint32_t slots_in_use, instant now)
 {
-    upstream_record& known = this->record(id);
-    known.in_use_by_others =
-        slots_in_use - std::min(slots_in_use, known.in_flight);
-    known.reported_at = now;
-    known.is_reported = true;
+    upstream_record& record = this->record_of(id);
+    record.in_use_by_others =
+        slots_in_use - std::min(slots_in_use, record.in_flight);
+    record.reported_at = now;
+    record.is_reported = true;
 }
 
-void service_state::note_leaving(upstream_id const& id, instant until)
+void service_state::record_leaving(upstream_id const& id, instant until)
 {
-    this->record(id).leaving_until = until;
+    this->record_of(id).leaving_until = until;
 }
 
-void service_state::check(instant now)
+void service_state::advance(instant now)
 {
-    this->average_taken += average_weight * (static_cast<double>(this->taken) -
-                                             this->average_taken);
-    bool const short_of_room =
-        this->waiting() > 0 && this->pool({}, now).free == 0;
-    for (auto& [id, known] : this->records)
+    this->average_slots_held +=
+        average_weight *
+        (static_cast<double>(this->slots_held) - this->average_slots_held);
+    bool const out_of_capacity =
+        this->waiting() > 0 && this->make_pool({}, now).free == 0;
+    for (auto& [id, record] : this->records)
     {
-        known.health.reduce(policy::health_checked{}, now);
-        if (short_of_room)
+        record.health.reduce(policy::health_checked{}, now);
+        if (out_of_capacity)
         {
-            known.health.reduce(policy::room_ran_out{}, now);
+            record.health.reduce(policy::room_ran_out{}, now);
         }
     }
 }
 
 duration service_state::usual_answer() const
 {
-    return this->answered.quantile(reserve_share);
+    return this->answer_time.quantile(reserve_quantile);
 }
 
 std::size_t service_state::waiting() const
 {
     std::size_t count = 0;
-    for (auto const& [reached, queue] : this->queues)
+    for (auto const& [reachable, queue] : this->queues)
     {
         count += queue.size();
     }
--- a/bilberrylead/entry/service_state.hpp
+++ b/bilberrylead/entry/service_state.hpp
@@ -75,14 +75,14 @@
     void configure(std::vector<configured_upstream> upstreams);
 
     /// Takes every waiting request out, for a new configuration.
-    std::vector<std::uint64_t> take_waiting(instant now);
+    std::vector<std::uint64_t> remove_waiting(instant now);
 
     /// Decides what becomes of a request that needs a slot now.
     policy::admission_verdict offer(policy::waiting_request const& request,
-                                    reach const& reached, instant now);
+                                    reach const& reachable, instant now);
 
     /// Time until such a request would get a slot.
-    duration expected_wait(std::uint32_t flow, reach const& reached,
+    duration expected_wait(std::uint32_t flow, reach const& reachable,
                            instant now);
 
     /// The waiting request that may start now, of one queue after the
@@ -93,82 +93,84 @@
     std::optional<std::uint64_t> next_expired(instant now);
 
     /// Takes a request out of its queue.
-    void cancel(std::uint64_t ticket, reach const& reached);
+    void cancel(std::uint64_t ticket, reach const& reachable);
 
     /// Picks an upstream with a free slot, one that is not among `tried` if
     /// there is any; null if there is none.
-    config::upstream const* choose(reach const& reached,
+    config::upstream const* choose(reach const& reachable,
                                    std::vector<upstream_id> const& tried,
                                    instant now);
 
     /// True if any upstream within reach takes work at all.
-    bool takes_work(reach const& reached, instant now) const;
+    bool accepts_work(reach const& reachable, instant now) const;
 
     /// True if anything is known of the upstream.
-    bool has(upstream_id const& id) const
+    bool has_record(upstream_id const& id) const
     {
         return this->records.contains(id);
     }
 
     /// Decides where a request goes that waits at an upstream if it has to.
     policy::placement_verdict place(policy::placement_question const& question,
-                                    reach const& reached,
+                                    reach const& reachable,
                                     std::vector<upstream_id> const& tried,
                                     instant now);
 
     /// The upstream at an index that `place` gave.
     config::upstream const& upstream_at(std::size_t index) const
     {
-        return *this->configured[index].upstream;
+        return *this->configured_upstreams[index].upstream;
     }
 
     /// Time there and back to the upstream at that index.
     duration round_trip_to(std::size_t index) const
     {
-        return 2 * this->configured[index].distance;
+        return 2 * this->configured_upstreams[index].distance;
     }
 
     /// What this host may send to a cold upstream, and further tries it may
     /// save up: its share of what all hosts may.
-    void set_shares(policy::cold_share const& cold, double saved_retries);
+    void set_host_shares(policy::cold_share const& cold_share,
+                         double saved_retries);
 
     /// The upstream's load, as it told beside an answer.
-    void note_load(upstream_id const& id, upstream_load const& load,
-                   instant now);
+    void record_load(upstream_id const& id, upstream_load const& load,
+                     instant now);
 
     /// The limit that the upstream named in an answer; nothing if it named
     /// none. True if it is another one than before.
-    bool note_limit(upstream_id const& id, std::optional<double> limit,
-                    instant now);
+    bool record_limit(upstream_id const& id, std::optional<double> limit,
+                      instant now);
 
     /// What another entry host tells of an upstream's limit. True if the
     /// limit is another one by it.
-    bool hear_limit(host_id const& sender, policy::limit_report const& report,
-                    instant now);
+    bool receive_limit(host_id const& sender,
+                       policy::limit_report const& report, instant now);
 
     /// What has to be told of limits since the last call.
-    std::vector<policy::limit_report> take_limit_reports(instant now);
+    std::vector<policy::limit_report> pop_limit_reports(instant now);
 
     /// Time until one of the upstreams within reach that are at their limits
     /// may get a request; nothing if there is none.
-    std::optional<duration> limit_wait(reach const& reached, instant now) const;
+    std::optional<duration> time_to_next_token(reach const& reachable,
+                                               instant now) const;
 
     /// The upstream worked on a request of this host's: so long as it would
     /// take where the object is known, 0 for none.
-    void note_run(upstream_id const& id, duration time, std::uint64_t object,
-                  instant now);
+    void record_run(upstream_id const& id, duration time, std::uint64_t object,
+                    instant now);
 
     /// The upstreams of the zone are cold until then.
-    void note_cold(zone_id const& zone, instant until);
+    void record_cold_zone(zone_id const& zone, instant until);
 
     /// The upstreams, in the order of every reach.
     std::vector<configured_upstream> const& upstreams() const
     {
-        return this->configured;
+        return this->configured_upstreams;
     }
 
     /// A request for the service arrived.
-    void note_arrival(instant now)
+    void record_arrival(instant now)
     {
         this->arrivals.add(now);
     }
@@ -177,7 +179,7 @@
     double demand(instant now) const;
 
     /// Where requests run, by number of region.
-    policy::region_shares& regions()
+    policy::region_shares& region_shares()
     {
         return this->shares;
     }
@@ -185,36 +187,36 @@
     /// Time that requests usually run, for callers that come back.
     duration usual_run() const
     {
-        return this->usual.run();
+        return this->usual_load.run();
     }
 
     /// Work was started there.
-    void take_slot(upstream_id const& id, instant now);
+    void acquire_slot(upstream_id const& id, instant now);
 
     /// Work has ended there, in whatever way.
-    void free_slot(upstream_id const& id);
+    void release_slot(upstream_id const& id);
 
     /// The answer's head came this long after the request was sent.
-    void note_answer(upstream_id const& id, duration took, instant now);
+    void record_answer(upstream_id const& id, duration took, instant now);
 
     /// A slot was held this long for a whole answer.
-    void note_held(upstream_id const& id, duration held);
+    void record_slot_time(upstream_id const& id, duration time);
 
     /// The upstream failed the request.
-    void note_failure(upstream_id const& id, instant now);
+    void record_failure(upstream_id const& id, instant now);
 
     /// The upstream turned the request away: all of its slots are taken.
-    void note_refusal(upstream_id const& id, instant now);
+    void record_refusal(upstream_id const& id, instant now);
 
     /// The upstream's own report.
-    void note_report(upstream_id const& id, std::uint32_t slots_in_use,
-                     instant now);
+    void record_load_report(upstream_id const& id, std::uint32_t slots_in_use,
+                            instant now);
 
     /// The upstream gets no new work until then.
-    void note_leaving(upstream_id const& id, instant until);
+    void record_leaving(upstream_id const& id, instant until);
 
     /// Time went by.
-    void check(instant now);
+    void advance(instant now);
 
     /// Time that nearly every request takes from slot to answer.
     duration usual_answer() const;
@@ -225,7 +227,7 @@
     /// Slots held.
     std::size_t in_use() const
     {
-        return this->taken;
+        return this->slots_held;
     }
 
     /// What pays for further tries.
@@ -236,54 +238,54 @@
 private:
     /// Demands follow what callers do within a second or two; single gaps
     /// between requests do not show.
-    static constexpr std::chrono::duration<double> demand_memory{1.5};
+    static constexpr std::chrono::duration<double> demand_window{1.5};
     /// Share of the requests that may move to other regions in a second. Two
     /// seconds of it, and what chance adds, stay below the usual bound of 15
     /// in 100.
-    static constexpr double region_pace = 0.045;
-
-    upstream_record& record(upstream_id const& id);
-    bool open(std::size_t place, instant now) const;
-    bool reaches(reach const& reached, std::size_t place) const;
-    policy::slot_pool pool(reach const& reached, instant now) const;
-    policy::admission_queue& queue(reach const& reached);
-    std::optional<std::size_t> pick(reach const& reached,
-                                    std::vector<upstream_id> const& left_out,
-                                    instant now);
-    void fill_views(reach const& reached,
-                    std::vector<upstream_id> const& left_out, instant now);
-
-    bool sends_cold_to(std::uint64_t upstream, std::uint32_t region) const;
-    policy::usual_load& usual_in(std::uint32_t region);
-    void fill_candidates(std::uint64_t object, reach const& reached,
+    static constexpr double max_region_shift_per_s = 0.045;
+
+    upstream_record& record_of(upstream_id const& id);
+    bool is_open(std::size_t index, instant now) const;
+    bool is_reachable(reach const& reachable, std::size_t index) const;
+    policy::slot_pool make_pool(reach const& reachable, instant now) const;
+    policy::admission_queue& queue_for(reach const& reachable);
+    std::optional<std::size_t>
+    choose_excluding(reach const& reachable,
+                     std::vector<upstream_id> const& excluded, instant now);
+    void fill_views(reach const& reachable,
+                    std::vector<upstream_id> const& excluded, instant now);
+
+    bool may_send_to_cold(std::uint64_t upstream, std::uint32_t region) const;
+    policy::usual_load& usual_load_in(std::uint32_t region);
+    void fill_candidates(std::uint64_t object, reach const& reachable,
                          std::vector<upstream_id> const& tried, instant now);
 
-    config::work_length length;
-    std::vector<configured_upstream> configured;
+    config::work_length work_length;
+    std::vector<configured_upstream> configured_upstreams;
     // What is known of each of them, in the same order; each request looks
     // at all of them.
-    std::vector<upstream_record*> configured_records;
+    std::vector<upstream_record*> upstream_records;
     std::vector<policy::placement_candidate> candidates;
     policy::upstream_placement placement;
     // Over all upstreams, and over those of one region by its number, which
     // starts from what was usual when the region was first looked at.
-    policy::usual_load usual;
+    policy::usual_load usual_load;
     std::map<std::uint32_t, policy::usual_load> usual_by_region;
     policy::cold_share cold;
-    policy::arrival_rate arrivals{demand_memory};
-    policy::region_shares shares{region_pace};
+    policy::arrival_rate arrivals{demand_window};
+    policy::region_shares shares{max_region_shift_per_s};
     std::unordered_map<upstream_id, upstream_record> records;
     // Upstreams whose limits or counts the other entry hosts don't know yet.
-    std::set<upstream_id> untold_limits;
+    std::set<upstream_id> unsent_limits;
     std::map<reach, policy::admission_queue> queues;
     policy::completion_choice choice;
-    policy::service_time_estimate held;
-    policy::service_time_estimate answered;
+    policy::service_time_estimate slot_time;
+    policy::service_time_estimate answer_time;
     // Kept between calls, so that a choice allocates nothing.
     policy::upstream_set views;
-    std::size_t taken = 0;
-    double average_taken = 0;
-    std::size_t turn = 0;
+    std::size_t slots_held = 0;
+    double average_slots_held = 0;
+    std::size_t last_queue = 0;
 };
 
 } // namespace bilberrylead::entry
--- a/bilberrylead/entry/service_state_limits.cpp
+++ b/bilberrylead/entry/service_state_limits.cpp
@@ -12,56 +12,59 @@
 {
 
 /// How often the other entry hosts hear that a limit goes on.
-constexpr duration confirmation_interval = std::chrono::seconds(2);
+constexpr duration limit_report_interval = std::chrono::seconds(2);
 
 } // namespace
 
-bool service_state::note_limit(upstream_id const& id,
-                               std::optional<double> limit, instant now)
+bool service_state::record_limit(upstream_id const& id,
+                                 std::optional<double> limit, instant now)
 {
-    upstream_record& known = this->record(id);
-    bool const changed = known.limit.observe(limit, now);
-    bool const is_old = now - known.limit_told >= confirmation_interval;
+    upstream_record& record = this->record_of(id);
+    bool const changed = record.limit.observe(limit, now);
+    bool const is_old =
+        now - record.sent_limit_seen_at >= limit_report_interval;
     if (changed || (limit.has_value() && is_old))
     {
-        this->untold_limits.insert(id);
+        this->unsent_limits.insert(id);
     }
     return changed;
 }
 
-bool service_state::hear_limit(host_id const& sender,
-                               policy::limit_report const& report, instant now)
+bool service_state::receive_limit(host_id const& sender,
+                                  policy::limit_report const& report,
+                                  instant now)
 {
-    policy::shared_limit& known = this->record(report.upstream).limit;
+    policy::shared_limit& limit = this->record_of(report.upstream).limit;
     duration const age = std::max(report.age, duration::zero());
-    bool const changed = known.observe(report.per_second, now - age);
-    known.hear(sender, report.sent, now, this->random);
+    bool const changed = limit.observe(report.per_second, now - age);
+    limit.hear(sender, report.sent, now, this->random);
     return changed;
 }
 
-std::vector<policy::limit_report> service_state::take_limit_reports(instant now)
+std::vector<policy::limit_report> service_state::pop_limit_reports(instant now)
 {
     std::vector<policy::limit_report> reports;
-    for (upstream_id const& id : std::exchange(this->untold_limits, {}))
+    for (upstream_id const& id : std::exchange(this->unsent_limits, {}))
     {
-        upstream_record& record = this->record(id);
-        policy::shared_limit const& known = record.limit;
-        record.limit_told = known.seen();
+        upstream_record& record = this->record_of(id);
+        policy::shared_limit const& limit = record.limit;
+        record.sent_limit_seen_at = limit.seen();
         reports.push_back(
-            {id, known.per_second(), now - known.seen(), known.sent()});
+            {id, limit.per_second(), now - limit.seen(), limit.sent()});
     }
     return reports;
 }
 
-std::optional<duration> service_state::limit_wait(reach const& reached,
-                                                  instant now) const
+std::optional<duration>
+service_state::time_to_next_token(reach const& reachable, instant now) const
 {
     std::optional<duration> shortest;
-    for (std::size_t place = 0; place < this->configured.size(); ++place)
+    for (std::size_t index = 0; index < this->configured_upstreams.size();
+         ++index)
     {
         policy::shared_limit const& limit =
-            this->configured_records[place]->limit;
-        if (this->reaches(reached, place) && this->open(place, now) &&
+            this->upstream_records[index]->limit;
+        if (this->is_reachable(reachable, index) && this->is_open(index, now) &&
             !limit.has_token(now))
         {
             duration const wait = limit.until_token(now);
--- a/bilberrylead/entry/service_state_placement.cpp
+++ b/bilberrylead/entry/service_state_placement.cpp
@@ -12,33 +12,34 @@
 
 /// Handicap of an upstream that failed a moment ago, in runs: after every
 /// sound one, before a refusal.
-constexpr double suspicion_runs = 3;
+constexpr double suspect_penalty_runs = 3;
 /// A cold upstream is that much slower, and every request it gets makes its
 /// callers wait; sound ones go first.
-constexpr double cold_runs = 1;
+constexpr double cold_penalty_runs = 1;
 
 } // namespace
 
-void service_state::set_shares(policy::cold_share const& chosen,
-                               double saved_retries)
+void service_state::set_host_shares(policy::cold_share const& cold_share,
+                                    double saved_retries)
 {
-    this->cold = chosen;
+    this->cold = cold_share;
     this->budget.set_most_saved(saved_retries);
 }
 
 double service_state::demand(instant now) const
 {
     return this->arrivals.per_second(now) *
-           std::chrono::duration<double>(this->usual.run()).count();
+           std::chrono::duration<double>(this->usual_load.run()).count();
 }
 
-policy::usual_load& service_state::usual_in(std::uint32_t region)
+policy::usual_load& service_state::usual_load_in(std::uint32_t region)
 {
-    return this->usual_by_region.try_emplace(region, this->usual).first->second;
+    return this->usual_by_region.try_emplace(region, this->usual_load)
+        .first->second;
 }
 
-bool service_state::sends_cold_to(std::uint64_t upstream,
-                                  std::uint32_t region) const
+bool service_state::may_send_to_cold(std::uint64_t upstream,
+                                     std::uint32_t region) const
 {
     if (this->cold.region.has_value() && this->cold.region != region)
     {
@@ -50,92 +51,97 @@
                this->cold.part_of_hosts;
 }
 
-void service_state::note_cold(zone_id const& zone, instant until)
+void service_state::record_cold_zone(zone_id const& zone, instant until)
 {
-    for (std::size_t place = 0; place < this->configured.size(); ++place)
+    for (std::size_t index = 0; index < this->configured_upstreams.size();
+         ++index)
     {
-        if (this->configured[place].upstream->zone == zone)
+        if (this->configured_upstreams[index].upstream->zone == zone)
         {
-            upstream_record& known = *this->configured_records[place];
-            known.cold_until = std::max(known.cold_until, until);
+            upstream_record& record = *this->upstream_records[index];
+            record.cold_until = std::max(record.cold_until, until);
         }
     }
 }
 
-void service_state::note_load(upstream_id const& id, upstream_load const& load,
-                              instant now)
+void service_state::record_load(upstream_id const& id,
+                                upstream_load const& load, instant now)
 {
-    upstream_record& known = this->record(id);
-    std::uint32_t const held = load.running + load.waiting;
-    known.estimate.reported(held, known.in_flight, now);
-    double const others = held > known.in_flight ? held - known.in_flight : 0;
-    this->usual.note_held(others);
-    this->usual_in(known.region).note_held(others);
+    upstream_record& record = this->record_of(id);
+    std::uint32_t const slots_held = load.running + load.waiting;
+    record.estimate.reported(slots_held, record.in_flight, now);
+    double const others =
+        slots_held > record.in_flight ? slots_held - record.in_flight : 0;
+    this->usual_load.note_held(others);
+    this->usual_load_in(record.region).note_held(others);
 }
 
-void service_state::note_run(upstream_id const& id, duration time,
-                             std::uint64_t object, instant now)
+void service_state::record_run(upstream_id const& id, duration time,
+                               std::uint64_t object, instant now)
 {
     // The mean follows what upstreams of usual speed do; one that is slow
     // must not make its slowness the usual.
-    upstream_record& known = this->record(id);
-    policy::usual_load& siblings = this->usual_in(known.region);
-    known.estimate.ran(time, siblings.run(), now);
+    upstream_record& record = this->record_of(id);
+    policy::usual_load& siblings = this->usual_load_in(record.region);
+    record.estimate.ran(time, siblings.run(), now);
     if (object != 0)
     {
-        known.objects.note(object);
+        record.objects.note(object);
     }
     duration const normal =
-        scaled(time, 1.0 / std::max(1.0, known.estimate.slowness(now)));
+        scaled(time, 1.0 / std::max(1.0, record.estimate.slowness(now)));
     siblings.note_run(normal);
-    this->usual.note_run(normal);
+    this->usual_load.note_run(normal);
 }
 
-void service_state::fill_candidates(std::uint64_t object, reach const& reached,
+void service_state::fill_candidates(std::uint64_t object,
+                                    reach const& reachable,
                                     std::vector<upstream_id> const& tried,
                                     instant now)
 {
-    this->candidates.resize(this->configured.size());
-    for (std::size_t place = 0; place < this->configured.size(); ++place)
+    this->candidates.resize(this->configured_upstreams.size());
+    for (std::size_t index = 0; index < this->configured_upstreams.size();
+         ++index)
     {
-        config::upstream const& upstream = *this->configured[place].upstream;
-        upstream_record const& known = *this->configured_records[place];
+        config::upstream const& upstream =
+            *this->configured_upstreams[index].upstream;
+        upstream_record const& record = *this->upstream_records[index];
         policy::usual_load const& siblings =
-            this->usual_in(this->configured[place].region);
-        policy::placement_candidate& candidate = this->candidates[place];
-        candidate.hash = known.hash;
-        candidate.slots = std::max(1U, known.health.usable_slots());
-        candidate.in_flight = known.in_flight;
-        candidate.others = known.estimate.others(siblings.held(), now);
+            this->usual_load_in(this->configured_upstreams[index].region);
+        policy::placement_candidate& candidate = this->candidates[index];
+        candidate.hash = record.hash;
+        candidate.slots = std::max(1U, record.health.usable_slots());
+        candidate.in_flight = record.in_flight;
+        candidate.others = record.estimate.others(siblings.held(), now);
         candidate.service_time =
-            scaled(siblings.run(), known.estimate.slowness(now));
-        candidate.distance = this->configured[place].distance;
-        candidate.region = this->configured[place].region;
-        bool const is_cold = now < known.cold_until;
+            scaled(siblings.run(), record.estimate.slowness(now));
+        candidate.distance = this->configured_upstreams[index].distance;
+        candidate.region = this->configured_upstreams[index].region;
+        bool const is_cold = now < record.cold_until;
         bool const suspected =
-            known.health.condition() != policy::upstream_condition::healthy;
+            record.health.condition() != policy::upstream_condition::healthy;
         candidate.penalty =
-            scaled(siblings.run(), (suspected ? suspicion_runs : 0) +
-                                       (is_cold ? cold_runs : 0));
+            scaled(siblings.run(), (suspected ? suspect_penalty_runs : 0) +
+                                       (is_cold ? cold_penalty_runs : 0));
         candidate.tried =
             std::find(tried.begin(), tried.end(), upstream.id) != tried.end();
-        candidate.familiar = object != 0 && known.objects.knows(object);
+        candidate.familiar = object != 0 && record.objects.knows(object);
         candidate.allowed =
-            this->reaches(reached, place) && this->open(place, now) &&
-            known.limit.has_token(now) &&
+            this->is_reachable(reachable, index) && this->is_open(index, now) &&
+            record.limit.has_token(now) &&
             (!is_cold ||
-             (this->sends_cold_to(candidate.hash, candidate.region) &&
-              known.cold_tokens.has_token(this->cold.requests_per_second,
-                                          now)));
+             (this->may_send_to_cold(candidate.hash, candidate.region) &&
+              record.cold_tokens.has_token(this->cold.requests_per_second,
+                                           now)));
     }
 }
 
 policy::placement_verdict
 service_state::place(policy::placement_question const& question,
-                     reach const& reached,
+                     reach const& reachable,
                      std::vector<upstream_id> const& tried, instant now)
 {
-    this->fill_candidates(question.object, reached, tried, now);
+    this->fill_candidates(question.object, reachable, tried, now);
     return this->placement.place(this->candidates, question, this->random);
 }
 
--- a/bilberrylead/entry/upstream_record.hpp
+++ b/bilberrylead/entry/upstream_record.hpp
@@ -40,7 +40,7 @@
     /// Its health as its answers show it.
     policy::upstream_health health;
     /// How long requests held its slots of late.
-    policy::service_time_estimate held;
+    policy::service_time_estimate slot_time;
     /// What others hold of it and how slow it is, where requests wait at
     /// upstreams.
     policy::upstream_estimate estimate;
@@ -51,7 +51,7 @@
     /// What it takes from all entry hosts together.
     policy::shared_limit limit;
     /// Answer by which the limit was told to the other entry hosts last.
-    instant limit_told{};
+    instant sent_limit_seen_at{};
     /// It is cold until then, by what it or its zone's return showed.
     instant cold_until{};
 };
--- a/bilberrylead/http/caller_connection_request.cpp
+++ b/bilberrylead/http/caller_connection_request.cpp
@@ -82,7 +82,7 @@
     arrival.service = first_segment(this->parser->get().target());
     arrival.host = host_without_port(this->parser->get()[field::host]);
     arrival.path = path_of(this->parser->get().target());
-    entry::body_rules const rules = this->core->decisions().rules_for_body(
+    entry::body_rules const rules = this->core->decisions().body_rules_for(
         arrival.service, arrival.host, arrival.path);
     if (!this->fill_request(*carried, arrival, rules))
     {
@@ -92,12 +92,12 @@
     }
     std::size_t const needed =
         this->core->settings().piece +
-        (rules.keep_whole ? this->core->settings().largest_collected : 0);
+        (rules.buffer_body ? this->core->settings().largest_collected : 0);
     if (!this->take_memory(needed))
     {
         co_return co_await this->refuse_for_memory(*carried);
     }
-    if (rules.known && !this->parser->is_done())
+    if (rules.is_served && !this->parser->is_done())
     {
         bool const whole = co_await this->read_body(*carried, rules);
         if (!whole)
@@ -107,7 +107,7 @@
     }
     this->frame_request(*carried);
     arrival.body_kept = carried->complete;
-    arrival.body_digest = rules.keep_whole ? content_digest(*carried) : 0;
+    arrival.body_digest = rules.buffer_body ? content_digest(*carried) : 0;
     arrival.digest = request_digest(
         *carried, arrival.host,
         header_of(this->parser->get(), this->core->settings().names.caller));
@@ -160,7 +160,7 @@
             return false;
         }
     }
-    this->parser->body_limit(rules.largest);
+    this->parser->body_limit(rules.max_bytes);
     carried.message.base() = head.base();
     strip_connection_headers(carried.message);
     strip_upstream_headers(carried.message, names);
@@ -198,10 +198,10 @@
 task<bool> caller_connection::read_body(carried_request& carried,
                                         entry::body_rules const& rules)
 {
-    std::size_t const largest = rules.largest;
+    std::size_t const largest = rules.max_bytes;
     std::size_t const keep =
-        rules.keep_whole ? largest
-                         : std::min(largest, this->core->settings().kept_body);
+        rules.buffer_body ? largest
+                          : std::min(largest, this->core->settings().kept_body);
     if (this->parser->content_length().value_or(0) > largest)
     {
         co_return co_await this->refuse_body(beast::http::error::body_limit);
--- a/bilberrylead/http/decision_log.cpp
+++ b/bilberrylead/http/decision_log.cpp
@@ -59,7 +59,7 @@
         .time("expected_wait_ms", end.expected_wait)
         .real("run_factor", end.run_factor)
         .time("usual_run_ms", end.usual_run)
-        .time("answered_after_ms", end.answered_after)
+        .time("answered_after_ms", end.time_to_head)
         .time("took_ms", end.took);
     if (end.split.has_value())
     {
@@ -71,7 +71,7 @@
     line.write();
 }
 
-void log_loss(entry::loss_settled const& settled)
+void log_loss(entry::connection_loss_resolved const& settled)
 {
     log_line("entry", "upstream_lost")
         .text("upstream", settled.upstream.text())
@@ -84,7 +84,7 @@
     log_line line("entry", "upstream_limit");
     line.text("upstream", changed.upstream.text())
         .text("verdict", changed.per_second.has_value() ? "limited" : "ended")
-        .text("source", changed.heard ? "heard" : "own");
+        .text("source", changed.from_peer ? "heard" : "own");
     if (changed.per_second.has_value())
     {
         line.real("per_second", *changed.per_second);
@@ -101,7 +101,7 @@
         .text("ended", names_of(changed.record.ended.begin(),
                                 changed.record.ended.end()))
         .text("verdict", policy::to_string(changed.verdict))
-        .text("source", changed.heard ? "heard" : "own")
+        .text("source", changed.from_peer ? "heard" : "own")
         .write();
 }
 
--- a/bilberrylead/http/decision_log.hpp
+++ b/bilberrylead/http/decision_log.hpp
@@ -6,7 +6,7 @@
 namespace bilberrylead::entry
 {
 struct crash_record_changed;
-struct loss_settled;
+struct connection_loss_resolved;
 struct request_ended;
 struct upstream_limit_changed;
 } // namespace bilberrylead::entry
@@ -18,7 +18,7 @@
 void log_request(entry::request_ended const& end, std::string const& id);
 
 /// Writes what became of an upstream that lost connections.
-void log_loss(entry::loss_settled const& settled);
+void log_loss(entry::connection_loss_resolved const& settled);
 
 /// Writes that an upstream's limit is another one.
 void log_limit(entry::upstream_limit_changed const& changed);
--- a/bilberrylead/http/server_core.cpp
+++ b/bilberrylead/http/server_core.cpp
@@ -161,8 +161,8 @@
     {
         this->start(*order);
     }
-    else if (entry::pass_answer_on const* passed =
-                 std::get_if<entry::pass_answer_on>(&decided))
+    else if (entry::stream_answer const* passed =
+                 std::get_if<entry::stream_answer>(&decided))
     {
         carried_request* request = this->find(passed->request);
         if (request != nullptr)
@@ -229,8 +229,8 @@
     {
         this->probe(*wanted);
     }
-    else if (entry::loss_settled const* settled =
-                 std::get_if<entry::loss_settled>(&decided))
+    else if (entry::connection_loss_resolved const* settled =
+                 std::get_if<entry::connection_loss_resolved>(&decided))
     {
         log_loss(*settled);
     }
@@ -244,12 +244,13 @@
     {
         log_crash_record(*changed);
     }
-    else if (std::holds_alternative<entry::close_callers_after_answer>(decided))
+    else if (std::holds_alternative<entry::close_connections_after_answer>(
+                 decided))
     {
         logger.info("The drain has begun; answers end their connections.");
         this->close_after_answer = true;
     }
-    else if (std::holds_alternative<entry::stop_taking_callers>(decided))
+    else if (std::holds_alternative<entry::stop_accepting_connections>(decided))
     {
         logger.info("No new connections are taken from now on.");
         this->taking_callers = false;
@@ -382,7 +383,7 @@
 {
     auto const found = this->carried.find(number);
     if (found != this->carried.end() && found->second->caller_left &&
-        !this->reducer.knows(number))
+        !this->reducer.contains(number))
     {
         // Request and exchange hold each other.
         found->second->exchange = nullptr;
@@ -392,7 +393,8 @@
 
 config::caller_limits server_core::caller_limits() const
 {
-    config::caller_limits const* const configured = this->reducer.limits();
+    config::caller_limits const* const configured =
+        this->reducer.caller_limits();
     if (configured != nullptr)
     {
         return *configured;
--- a/bilberrylead/http/steering_page.cpp
+++ b/bilberrylead/http/steering_page.cpp
@@ -55,7 +55,7 @@
                             "Ask for /steering?service=NAME.");
     }
     // A caller nobody has placed is near the host it asked.
-    zone_id zone = routes->place_of(caller_address).zone;
+    zone_id zone = routes->locate_caller(caller_address).zone;
     if (zone.empty())
     {
         zone = decisions.settings().zone;
--- a/bilberrylead/http/upstream_exchange.cpp
+++ b/bilberrylead/http/upstream_exchange.cpp
@@ -81,7 +81,7 @@
 task<bool> upstream_exchange::connect()
 {
     pool_settings const& settings = this->pool.settings();
-    if (!this->order.fresh)
+    if (!this->order.new_connection_only)
     {
         this->connection =
             this->pool.take(this->order.address,
@@ -245,7 +245,7 @@
         if (error)
         {
             this->fail(this->timed_out
-                           ? entry::exchange_fault::silent
+                           ? entry::exchange_fault::no_response
                            : entry::exchange_fault::connection_lost);
             co_return false;
         }
@@ -276,7 +276,7 @@
             this->parser->need_eof() || total > largest_skipped_answer;
         if (!this->over && (error || endless))
         {
-            this->fail(this->timed_out ? entry::exchange_fault::silent
+            this->fail(this->timed_out ? entry::exchange_fault::no_response
                                        : entry::exchange_fault::bad_answer);
         }
     }
--- a/bilberrylead/http/upstream_exchange_answer.cpp
+++ b/bilberrylead/http/upstream_exchange_answer.cpp
@@ -153,7 +153,7 @@
         if (error)
         {
             this->fail(this->timed_out
-                           ? entry::exchange_fault::silent
+                           ? entry::exchange_fault::no_response
                            : entry::exchange_fault::connection_lost);
             co_return 0;
         }
@@ -210,7 +210,7 @@
         if (error && error != beast::http::error::need_buffer)
         {
             this->fail(this->timed_out
-                           ? entry::exchange_fault::silent
+                           ? entry::exchange_fault::no_response
                            : entry::exchange_fault::connection_lost);
             co_return;
         }
--- a/bilberrylead/http/upstream_probe.cpp
+++ b/bilberrylead/http/upstream_probe.cpp
@@ -38,11 +38,11 @@
 {
     if (!error)
     {
-        return entry::probe_outcome::taken;
+        return entry::probe_outcome::accepted;
     }
     return error == asio::error::connection_refused
                ? entry::probe_outcome::refused
-               : entry::probe_outcome::silent;
+               : entry::probe_outcome::no_response;
 }
 
 } // namespace
@@ -59,7 +59,7 @@
         {
             if (!error)
             {
-                probe->end(entry::probe_outcome::silent);
+                probe->end(entry::probe_outcome::no_response);
             }
         });
     error_code error;
@@ -67,7 +67,7 @@
         asio::ip::make_address(upstream.address, error);
     if (error)
     {
-        probe->end(entry::probe_outcome::silent);
+        probe->end(entry::probe_outcome::no_response);
         return;
     }
     probe->socket.async_connect({address, upstream.port},
--- a/tests/unit/entry/choices_over_hosts_test.cpp
+++ b/tests/unit/entry/choices_over_hosts_test.cpp
@@ -19,13 +19,13 @@
 constexpr std::uint64_t started_at = 1'770'000'000'000;
 
 /// Entry hosts in front of so many equal upstreams of one service.
-entry_fleet in_front_of(std::size_t upstreams, std::uint32_t slots)
+entry_fleet make_fleet(std::size_t upstreams, std::uint32_t slots)
 {
     auto listing = std::make_shared<listed_upstreams>();
-    for (std::size_t place = 0; place < upstreams; ++place)
+    for (std::size_t index = 0; index < upstreams; ++index)
     {
         listing->push_back(
-            make_listed("read", fmt::format("read-{}", place), slots));
+            make_listed("read", fmt::format("read-{}", index), slots));
     }
     return {hosts, make_one_route({{service_id("read"), 1}}), listing,
             started_at};
@@ -38,33 +38,33 @@
 Test(choices_over_hosts, first_requests_spread_over_equal_upstreams)
 {
     constexpr std::size_t upstreams = 16;
-    constexpr int most_at_one = 3 * hosts / upstreams;
-    entry_fleet fleet = in_front_of(upstreams, 3);
+    constexpr int max_per_upstream = 3 * hosts / upstreams;
+    entry_fleet fleet = make_fleet(upstreams, 3);
     std::map<std::string, int> sent;
-    for (std::size_t place = 0; place < fleet.size(); ++place)
+    for (std::size_t host = 0; host < fleet.size(); ++host)
     {
-        ++sent[fleet.sent_to(place)];
+        ++sent[fleet.sent_to(host)];
     }
     for (auto const& [upstream, count] : sent)
     {
-        cr_expect_leq(count, most_at_one, "%s", upstream.c_str());
+        cr_expect_leq(count, max_per_upstream, "%s", upstream.c_str());
     }
 }
 
 // Guards against hosts that tell callers which they refuse at the same moment
 // to come back at the same moment.
-Test(choices_over_hosts, refused_callers_come_back_at_different_times)
+Test(choices_over_hosts, refused_callers_get_different_retry_times)
 {
-    entry_fleet fleet = in_front_of(1, 1);
-    std::set<duration> told;
-    for (std::size_t place = 0; place < fleet.size(); ++place)
+    entry_fleet fleet = make_fleet(1, 1);
+    std::set<duration> retry_times;
+    for (std::size_t host = 0; host < fleet.size(); ++host)
     {
-        effects said = fleet.arrive(place);
-        while (find_effect<answer_not_run>(said) == nullptr)
+        effects decided = fleet.arrive(host);
+        while (find_effect<answer_not_run>(decided) == nullptr)
         {
-            said = fleet.arrive(place);
+            decided = fleet.arrive(host);
         }
-        told.insert(find_effect<answer_not_run>(said)->retry_after);
+        retry_times.insert(find_effect<answer_not_run>(decided)->retry_after);
     }
-    cr_expect_eq(told.size(), hosts);
+    cr_expect_eq(retry_times.size(), hosts);
 }
--- a/tests/unit/entry/crashing_request_test.cpp
+++ b/tests/unit/entry/crashing_request_test.cpp
@@ -12,12 +12,12 @@
 {
 
 /// By then all entry hosts have to know what crashes upstreams.
-constexpr duration contact_time = 4s;
+constexpr duration propagation_time = 4s;
 /// Runs that are allowed later than that after the third crash.
-constexpr std::size_t late_runs = 3;
+constexpr std::size_t max_late_runs = 3;
 
 /// Digest of a request that comes once and crashes nothing.
-std::uint64_t innocent(std::uint64_t number)
+std::uint64_t harmless_digest(std::uint64_t number)
 {
     return (number << 32U) | 1U;
 }
@@ -25,33 +25,35 @@
 /// Repeats of a request that crashes its upstreams come to one entry host
 /// after the other, each so much later than the one before; beside them
 /// every host gets requests of its own.
-void repeat_crashing(upstream_fleet& fleet, duration pause, duration time)
+void repeat_crashing_request(upstream_fleet& fleet, duration pause,
+                             duration time)
 {
     std::uint64_t next_digest = 1;
     std::size_t host = 0;
     for (duration passed{}; passed < time; passed += pause)
     {
-        fleet.arrive(host % fleet.hosts(), upstream_fleet::crashing);
+        fleet.arrive(host % fleet.hosts(), upstream_fleet::crashing_digest);
         for (std::size_t other = 0; other < 4; ++other)
         {
             next_digest += 2;
-            fleet.arrive((host + other) % fleet.hosts(), innocent(next_digest));
+            fleet.arrive((host + other) % fleet.hosts(),
+                         harmless_digest(next_digest));
         }
         ++host;
         fleet.run_for(pause);
     }
 }
 
-void expect_budget_kept(upstream_fleet const& fleet, char const* what)
+void expect_budget_kept(upstream_fleet const& fleet, char const* scenario)
 {
     std::size_t const late =
         fleet.third_crash() == instant::max()
             ? 0
-            : fleet.runs_of(upstream_fleet::crashing,
-                            fleet.third_crash() + contact_time);
-    cr_expect_leq(late, late_runs,
-                  "%s, %zu hosts: %zu late runs, %zu upstreams ended", what,
-                  fleet.hosts(), late, fleet.ended());
+            : fleet.runs_of(upstream_fleet::crashing_digest,
+                            fleet.third_crash() + propagation_time);
+    cr_expect_leq(late, max_late_runs,
+                  "%s, %zu hosts: %zu late runs, %zu upstreams ended", scenario,
+                  fleet.hosts(), late, fleet.ended_upstreams());
 }
 
 constexpr std::size_t fleet_sizes[] = {2, 10, 80, 300};
@@ -65,71 +67,71 @@
     for (std::size_t const hosts : fleet_sizes)
     {
         upstream_fleet fleet({.hosts = hosts});
-        repeat_crashing(fleet, 200ms, 20s);
+        repeat_crashing_request(fleet, 200ms, 20s);
         expect_budget_kept(fleet, "prompt news");
     }
 }
 
 // Guards against repeats that run until slow news have come: late, but not
 // later than hosts in contact may be.
-Test(crashing_request, repeats_stop_when_news_come_three_seconds_late)
+Test(crashing_request, repeats_stop_when_records_arrive_3_s_late)
 {
     for (std::size_t const hosts : fleet_sizes)
     {
-        upstream_fleet fleet({.hosts = hosts, .news_lag = 3s});
-        repeat_crashing(fleet, 200ms, 20s);
+        upstream_fleet fleet({.hosts = hosts, .peer_delay = 3s});
+        repeat_crashing_request(fleet, 200ms, 20s);
         expect_budget_kept(fleet, "late news");
     }
 }
 
 // Guards against repeats that go on in waves once upstreams are back.
-Test(crashing_request, repeats_with_prompt_news_end_few_upstreams)
+Test(crashing_request, repeats_with_prompt_records_end_few_upstreams)
 {
-    constexpr std::size_t most_ended = 6;
+    constexpr std::size_t max_ended = 6;
     for (std::size_t const hosts : fleet_sizes)
     {
         upstream_fleet fleet({.hosts = hosts});
-        repeat_crashing(fleet, 200ms, 40s);
-        cr_expect_leq(fleet.ended(), most_ended, "%zu hosts: %zu ended", hosts,
-                      fleet.ended());
+        repeat_crashing_request(fleet, 200ms, 40s);
+        cr_expect_leq(fleet.ended_upstreams(), max_ended,
+                      "%zu hosts: %zu ended", hosts, fleet.ended_upstreams());
     }
 }
 
 // Guards against entry hosts that start without knowing what crashes
 // upstreams.
-Test(crashing_request, restarted_hosts_refuse_what_others_know)
+Test(crashing_request, restarted_hosts_receive_crash_records)
 {
     for (std::size_t const hosts : fleet_sizes)
     {
         upstream_fleet fleet({.hosts = hosts});
-        repeat_crashing(fleet, 200ms, 8s);
+        repeat_crashing_request(fleet, 200ms, 8s);
         // The first one goes on, the others restart together.
         for (std::size_t host = 1; host < hosts; ++host)
         {
             fleet.start_host(host);
         }
-        repeat_crashing(fleet, 200ms, 8s);
+        repeat_crashing_request(fleet, 200ms, 8s);
         expect_budget_kept(fleet, "restart");
     }
 }
 
 // Guards against a host that was cut off, and learns nothing of what the
 // others found meanwhile.
-Test(crashing_request, host_that_was_cut_off_learns_when_it_is_back)
+Test(crashing_request, reconnected_host_receives_crash_records)
 {
     upstream_fleet fleet({.hosts = 10});
-    fleet.set_cut(9, true);
-    repeat_crashing(fleet, 200ms, 8s);
-    fleet.set_cut(9, false);
-    fleet.run_for(contact_time);
-    std::size_t const before = fleet.ended();
-    repeat_crashing(fleet, 200ms, 10s);
-    cr_expect_eq(fleet.ended(), before);
+    fleet.set_partitioned(9, true);
+    repeat_crashing_request(fleet, 200ms, 8s);
+    fleet.set_partitioned(9, false);
+    fleet.run_for(propagation_time);
+    std::size_t const before = fleet.ended_upstreams();
+    repeat_crashing_request(fleet, 200ms, 10s);
+    cr_expect_eq(fleet.ended_upstreams(), before);
 }
 
 // Guards against innocent requests that are refused since a whole zone ended
 // under them.
-Test(crashing_request, innocent_requests_of_an_ended_zone_are_not_refused)
+Test(crashing_request, harmless_requests_of_an_ended_zone_are_not_refused)
 {
     constexpr std::uint64_t requests = 40;
     for (std::size_t const hosts : fleet_sizes)
@@ -137,7 +139,7 @@
         upstream_fleet fleet({.hosts = hosts});
         for (std::uint64_t number = 1; number <= requests; ++number)
         {
-            fleet.arrive(number % hosts, innocent(number));
+            fleet.arrive(number % hosts, harmless_digest(number));
         }
         fleet.run_for(20ms);
         for (std::size_t slot = 0; slot < 6; ++slot)
@@ -147,45 +149,46 @@
         fleet.run_for(3s);
         for (std::uint64_t number = 1; number <= requests; ++number)
         {
-            fleet.arrive(number % hosts, innocent(number));
+            fleet.arrive(number % hosts, harmless_digest(number));
         }
         fleet.run_for(3s);
         for (std::uint64_t number = 1; number <= requests; ++number)
         {
-            cr_expect_eq(fleet.refused_for_crashes(innocent(number)), 0U);
-            cr_expect_geq(fleet.answered(innocent(number)), 1U);
+            cr_expect_eq(fleet.refused_for_crashes(harmless_digest(number)),
+                         0U);
+            cr_expect_geq(fleet.answered(harmless_digest(number)), 1U);
         }
     }
 }
 
 // Guards against a popular request that is refused since upstreams end while
 // it runs, as something runs nearly always.
-Test(crashing_request, popular_request_beside_many_crashes_is_not_refused)
+Test(crashing_request, popular_request_during_many_crashes_is_not_refused)
 {
-    constexpr std::uint64_t popular = 3;
+    constexpr std::uint64_t popular_digest = 3;
     upstream_fleet fleet({.hosts = 10});
     for (std::size_t step = 0; step < 200; ++step)
     {
-        fleet.arrive(step % fleet.hosts(), popular);
-        fleet.arrive((step + 3) % fleet.hosts(), popular);
+        fleet.arrive(step % fleet.hosts(), popular_digest);
+        fleet.arrive((step + 3) % fleet.hosts(), popular_digest);
         if (step % 10 == 9)
         {
             fleet.end_upstream(step / 10 % 18);
         }
         fleet.run_for(50ms);
     }
-    cr_expect_gt(fleet.answered(popular), 300U);
-    cr_expect_eq(fleet.refused_for_crashes(popular), 0U);
+    cr_expect_gt(fleet.answered(popular_digest), 300U);
+    cr_expect_eq(fleet.refused_for_crashes(popular_digest), 0U);
 }
 
 // Guards against reset connections that are taken for crashes.
 Test(crashing_request, request_whose_connections_are_reset_is_not_refused)
 {
-    constexpr std::uint64_t unlucky = 3;
+    constexpr std::uint64_t reset_digest = 3;
     upstream_fleet fleet({.hosts = 10});
     for (std::size_t step = 0; step < 50; ++step)
     {
-        fleet.arrive(step % fleet.hosts(), unlucky);
+        fleet.arrive(step % fleet.hosts(), reset_digest);
         fleet.run_for(50ms);
         for (std::size_t slot = 0; slot < 18; ++slot)
         {
@@ -193,5 +196,5 @@
         }
         fleet.run_for(150ms);
     }
-    cr_expect_eq(fleet.refused_for_crashes(unlucky), 0U);
+    cr_expect_eq(fleet.refused_for_crashes(reset_digest), 0U);
 }
--- a/tests/unit/entry/entry_fixture.hpp
+++ b/tests/unit/entry/entry_fixture.hpp
@@ -55,9 +55,9 @@
 
 /// The first effect of that kind; null if there is none.
 template <class Effect>
-Effect const* find_effect(effects const& said)
+Effect const* find_effect(effects const& decided)
 {
-    for (effect const& each : said)
+    for (effect const& each : decided)
     {
         if (Effect const* found = std::get_if<Effect>(&each))
         {
@@ -75,7 +75,7 @@
 {
     driven_entry()
     {
-        this->said = this->reducer.reduce(
+        this->last_effects = this->reducer.reduce(
             configuration_received{1, make_configuration()}, this->now);
     }
 
@@ -87,10 +87,10 @@
         return settings;
     }
 
-    effects const& take(event const& happened)
+    effects const& reduce(event const& event)
     {
-        this->said = this->reducer.reduce(happened, this->now);
-        return this->said;
+        this->last_effects = this->reducer.reduce(event, this->now);
+        return this->last_effects;
     }
 
     effects const& arrive(std::uint64_t number, std::string const& service,
@@ -103,34 +103,34 @@
         arrival.caller_address = "127.0.0.1";
         arrival.idempotency_key = key;
         arrival.repeated = this->repeated;
-        return this->take(arrival);
+        return this->reduce(arrival);
     }
 
-    effects const& after(duration time)
+    effects const& advance(duration time)
     {
         this->now += time;
-        return this->take(tick{});
+        return this->reduce(tick{});
     }
 
     /// Lets the pause before another try pass.
-    effects const& after_pause()
+    effects const& advance_past_pause()
     {
-        return this->after(100ms);
+        return this->advance(100ms);
     }
 
     effects const& fail(std::uint64_t number, exchange_phase phase)
     {
-        return this->take(upstream_failed{static_cast<request_number>(number),
-                                          phase,
-                                          exchange_fault::connection_lost});
+        return this->reduce(upstream_failed{static_cast<request_number>(number),
+                                            phase,
+                                            exchange_fault::connection_lost});
     }
 
     /// How many effects the last event had on requests and hosts: all but
     /// the record of a request's end, which only the log takes.
-    std::size_t acts() const
+    std::size_t action_count() const
     {
         return static_cast<std::size_t>(std::count_if(
-            this->said.begin(), this->said.end(),
+            this->last_effects.begin(), this->last_effects.end(),
             [](effect const& each)
             {
                 return !std::holds_alternative<request_ended>(each);
@@ -140,18 +140,18 @@
     template <class Effect>
     Effect const* find() const
     {
-        return find_effect<Effect>(this->said);
+        return find_effect<Effect>(this->last_effects);
     }
 
     template <class Effect>
-    bool says() const
+    bool has_effect() const
     {
         return this->find<Effect>() != nullptr;
     }
 
     instant now = instant{} + 1h;
     entry_reducer reducer{make_settings(), test_seed};
-    effects said;
+    effects last_effects;
     /// What the next arrivals say of earlier sendings.
     bool repeated = false;
 };
