--- a/tests/unit/entry/entry_fleet.hpp
+++ b/tests/unit/entry/entry_fleet.hpp
@@ -78,10 +78,10 @@
     /// Starts every process anew.
     void start_all(std::uint64_t incarnation)
     {
-        for (std::size_t place = 0; place < this->processes.size(); ++place)
+        for (std::size_t host = 0; host < this->processes.size(); ++host)
         {
             entry_settings settings;
-            settings.self = host_id(fmt::format("edge-{}", place));
+            settings.self = host_id(fmt::format("edge-{}", host));
             settings.zone = zone_id("z1");
             settings.region = region_id("r1");
             settings.places = {{zone_id("z1"), region_id("r1"), {}},
@@ -89,10 +89,10 @@
             settings.upstreams_are_listed = true;
             settings.waiting = config::waiting_place::upstream;
             process_seed const seed(settings.self, incarnation);
-            this->processes[place] =
+            this->processes[host] =
                 std::make_unique<entry_reducer>(settings, seed);
-            this->take(place, configuration_received{1, this->content});
-            this->take(place, upstreams_listed{this->listing});
+            this->reduce(host, configuration_received{1, this->content});
+            this->reduce(host, upstreams_listed{this->listing});
         }
     }
 
@@ -102,24 +102,25 @@
     }
 
     /// Gives an event to one of them.
-    effects take(std::size_t place, event const& happened)
+    effects reduce(std::size_t host, event const& event)
     {
-        return this->processes[place]->reduce(happened, this->now);
+        return this->processes[host]->reduce(event, this->now);
     }
 
     /// A request comes to one of them.
-    effects arrive(std::size_t place)
+    effects arrive(std::size_t host)
     {
         ++this->last_request;
-        return this->take(place, make_arrival(this->last_request));
+        return this->reduce(host, make_arrival(this->last_request));
     }
 
     /// The upstream of a request that comes to one of them, which answers it
     /// at once; empty if it was not sent.
-    std::string sent_to(std::size_t place)
+    std::string sent_to(std::size_t host)
     {
-        effects const said = this->arrive(place);
-        start_upstream const* const order = find_effect<start_upstream>(said);
+        effects const decided = this->arrive(host);
+        start_upstream const* const order =
+            find_effect<start_upstream>(decided);
         if (order == nullptr)
         {
             return {};
@@ -127,8 +128,8 @@
         upstream_head_received head;
         head.request = order->request;
         head.status = 200;
-        this->take(place, head);
-        this->take(place, upstream_answer_finished{order->request, {}});
+        this->reduce(host, head);
+        this->reduce(host, upstream_answer_finished{order->request, {}});
         return order->upstream.text();
     }
 
--- a/tests/unit/entry/entry_load_test.cpp
+++ b/tests/unit/entry/entry_load_test.cpp
@@ -22,15 +22,15 @@
         arrival.caller = caller_id(caller);
         arrival.caller_address = "127.0.0.1";
         this->callers.push_back(caller);
-        this->note(this->take(arrival));
+        this->record_effects(this->reduce(arrival));
     }
 
     void step()
     {
-        this->note(this->after(10ms));
-        std::vector<started> const under_way = std::move(this->running);
+        this->record_effects(this->advance(10ms));
+        std::vector<started> const in_progress = std::move(this->running);
         this->running.clear();
-        for (started const& each : under_way)
+        for (started const& each : in_progress)
         {
             if (this->now - each.at < 20ms)
             {
@@ -39,9 +39,9 @@
             }
             upstream_head_received head;
             head.request = each.request;
-            this->take(head);
+            this->reduce(head);
             ++this->served[this->caller_of(each.request)];
-            this->note(this->take(
+            this->record_effects(this->reduce(
                 upstream_answer_finished{each.request, std::nullopt}));
         }
     }
@@ -51,7 +51,7 @@
         return this->callers[static_cast<std::size_t>(request) - 1];
     }
 
-    void note(effects const& decided)
+    void record_effects(effects const& decided)
     {
         for (effect const& each : decided)
         {
@@ -63,8 +63,8 @@
                     std::get_if<answer_not_run>(&each))
             {
                 ++this->refused[this->caller_of(not_run->request)];
-                this->shortest_retry =
-                    std::min(this->shortest_retry, not_run->retry_after);
+                this->min_retry_after =
+                    std::min(this->min_retry_after, not_run->retry_after);
             }
             cr_assert_not(std::holds_alternative<answer_unknown>(each));
         }
@@ -81,12 +81,12 @@
     std::vector<started> running;
     std::map<std::string, int> served;
     std::map<std::string, int> refused;
-    duration shortest_retry = 1h;
+    duration min_retry_after = 1h;
 };
 
 } // namespace
 
-Test(entry_load, burst_is_served_in_part_and_the_rest_hears_not_run_at_once)
+Test(entry_load, burst_is_served_in_part_and_the_rest_is_refused_at_once)
 {
     // 200 lookups arrive at once for two slots of 20 ms. Those that would
     // wait longer than half a second are refused in the same moment, with a
@@ -106,13 +106,13 @@
         return count;
     }();
     cr_assert_gt(refused_at_once, 100);
-    cr_assert_gt(entry.shortest_retry, duration::zero());
+    cr_assert_gt(entry.min_retry_after, duration::zero());
     for (int each = 0; each < 300; ++each)
     {
         entry.step();
     }
     cr_assert_eq(static_cast<int>(entry.served.size()), 200 - refused_at_once);
-    cr_assert_eq(entry.reducer.under_way(), 0);
+    cr_assert_eq(entry.reducer.requests_in_progress(), 0);
 }
 
 Test(entry_load, heavy_caller_does_not_take_the_others_turn)
@@ -161,13 +161,13 @@
     for (std::uint64_t each = 1; each <= requests; ++each)
     {
         entry.arrive(each, "lookup");
-        while (entry.says<start_upstream>())
+        while (entry.has_effect<start_upstream>())
         {
             ++sent;
             entry.fail(each, exchange_phase::maybe_sent);
-            entry.after_pause();
+            entry.advance_past_pause();
         }
-        entry.after(100ms);
+        entry.advance(100ms);
     }
     cr_assert_leq(sent, requests + requests / 10);
 }
@@ -183,16 +183,16 @@
     rule.service = service_id("lookup");
     rule.callers = {{"tier", "studio"}};
     made->selectors.push_back(rule);
-    entry.take(configuration_received{2, made});
+    entry.reduce(configuration_received{2, made});
     request_arrived arrival;
     arrival.service = service_id("lookup");
     arrival.request = static_cast<request_number>(1);
     arrival.caller_address = "10.1.2.3";
-    entry.take(arrival);
-    cr_assert(entry.says<start_upstream>());
+    entry.reduce(arrival);
+    cr_assert(entry.has_effect<start_upstream>());
     arrival.request = static_cast<request_number>(2);
     arrival.caller_address = "10.2.2.3";
-    entry.take(arrival);
+    entry.reduce(arrival);
     cr_assert(entry.find<answer_not_run>()->reason ==
               refusal_reason::no_upstream);
 }
--- a/tests/unit/entry/entry_reducer_test.cpp
+++ b/tests/unit/entry/entry_reducer_test.cpp
@@ -28,11 +28,11 @@
     entry_reducer reducer(driven_entry::make_settings(), test_seed);
     request_arrived arrival;
     arrival.service = service_id("lookup");
-    effects const said = reducer.reduce(arrival, instant{});
-    cr_assert_eq(said.size(), 2);
-    cr_assert(std::get<request_ended>(said.front()).reason ==
+    effects const decided = reducer.reduce(arrival, instant{});
+    cr_assert_eq(decided.size(), 2);
+    cr_assert(std::get<request_ended>(decided.front()).reason ==
               refusal_reason::not_ready);
-    cr_assert(std::get<answer_not_run>(said.back()).reason ==
+    cr_assert(std::get<answer_not_run>(decided.back()).reason ==
               refusal_reason::not_ready);
     cr_assert_not(reducer.ready());
 }
@@ -44,22 +44,22 @@
     driven_entry entry;
     std::shared_ptr<config::configuration> const newer = make_configuration();
     newer->services.pop_back();
-    entry.take(configuration_received{3, newer});
-    entry.take(configuration_received{2, make_configuration()});
-    entry.take(configuration_received{3, make_configuration()});
+    entry.reduce(configuration_received{3, newer});
+    entry.reduce(configuration_received{2, make_configuration()});
+    entry.reduce(configuration_received{3, make_configuration()});
     cr_assert_eq(entry.reducer.revision_in_force(), 3);
     cr_assert_null(entry.reducer.find_service(service_id("post")));
 }
 
-Test(entry_reducer, lookup_when_answered_is_passed_on_and_ends)
+Test(entry_reducer, answered_lookup_is_streamed_and_ends)
 {
     driven_entry entry;
     entry.arrive(1, "lookup");
-    cr_assert(entry.says<start_upstream>());
-    entry.take(head_of(1));
-    cr_assert(entry.says<pass_answer_on>());
-    entry.take(upstream_answer_finished{number(1), std::nullopt});
-    cr_assert_eq(entry.reducer.under_way(), 0);
+    cr_assert(entry.has_effect<start_upstream>());
+    entry.reduce(head_of(1));
+    cr_assert(entry.has_effect<stream_answer>());
+    entry.reduce(upstream_answer_finished{number(1), std::nullopt});
+    cr_assert_eq(entry.reducer.requests_in_progress(), 0);
     cr_assert_eq(entry.reducer.counters().slots_in_use, 0);
 }
 
@@ -81,10 +81,10 @@
         return entry.find<start_upstream>()->upstream;
     }();
     entry.fail(1, exchange_phase::maybe_sent);
-    entry.after_pause();
-    cr_assert(entry.says<start_upstream>());
+    entry.advance_past_pause();
+    cr_assert(entry.has_effect<start_upstream>());
     cr_assert(entry.find<start_upstream>()->upstream != first);
-    cr_assert(entry.find<start_upstream>()->fresh);
+    cr_assert(entry.find<start_upstream>()->new_connection_only);
 }
 
 Test(entry_reducer, post_whose_connection_breaks_is_never_sent_again)
@@ -95,11 +95,11 @@
     driven_entry entry;
     entry.arrive(1, "post");
     entry.fail(1, exchange_phase::maybe_sent);
-    cr_assert_not(entry.says<start_upstream>());
-    cr_assert(entry.says<answer_unknown>());
-    entry.after_pause();
-    cr_assert_not(entry.says<start_upstream>());
-    cr_assert_eq(entry.reducer.under_way(), 0);
+    cr_assert_not(entry.has_effect<start_upstream>());
+    cr_assert(entry.has_effect<answer_unknown>());
+    entry.advance_past_pause();
+    cr_assert_not(entry.has_effect<start_upstream>());
+    cr_assert_eq(entry.reducer.requests_in_progress(), 0);
 }
 
 Test(entry_reducer, post_that_never_left_is_tried_elsewhere_then_not_run)
@@ -110,23 +110,23 @@
     for (std::uint32_t each = 1; each < attempts; ++each)
     {
         entry.fail(1, exchange_phase::not_sent);
-        entry.after_pause();
-        cr_assert(entry.says<start_upstream>());
+        entry.advance_past_pause();
+        cr_assert(entry.has_effect<start_upstream>());
     }
     entry.fail(1, exchange_phase::not_sent);
-    cr_assert_not(entry.says<start_upstream>());
-    cr_assert(entry.says<answer_not_run>());
+    cr_assert_not(entry.has_effect<start_upstream>());
+    cr_assert(entry.has_effect<answer_not_run>());
 }
 
-Test(entry_reducer, post_that_upstream_turned_away_is_tried_elsewhere)
+Test(entry_reducer, post_that_upstream_refused_is_retried_elsewhere)
 {
     driven_entry entry;
     entry.arrive(1, "post");
     upstream_head_received refusal = head_of(1);
     refusal.not_run = true;
-    entry.take(refusal);
-    entry.after_pause();
-    cr_assert(entry.says<start_upstream>());
+    entry.reduce(refusal);
+    entry.advance_past_pause();
+    cr_assert(entry.has_effect<start_upstream>());
 }
 
 Test(entry_reducer, request_beyond_all_slots_waits_and_is_served_in_turn)
@@ -135,9 +135,9 @@
     entry.arrive(1, "lookup");
     entry.arrive(2, "lookup");
     entry.arrive(3, "lookup");
-    cr_assert_not(entry.says<start_upstream>());
-    entry.take(head_of(1));
-    entry.take(upstream_answer_finished{number(1), std::nullopt});
+    cr_assert_not(entry.has_effect<start_upstream>());
+    entry.reduce(head_of(1));
+    entry.reduce(upstream_answer_finished{number(1), std::nullopt});
     cr_assert(entry.find<start_upstream>()->request == number(3));
 }
 
@@ -147,18 +147,18 @@
     entry.arrive(1, "post");
     entry.arrive(2, "post");
     entry.arrive(3, "post");
-    entry.after(2s);
-    cr_assert(entry.says<answer_not_run>());
+    entry.advance(2s);
+    cr_assert(entry.has_effect<answer_not_run>());
     cr_assert(entry.find<answer_not_run>()->request == number(3));
-    cr_assert(entry.says<answer_unknown>(), "the other two may have run");
+    cr_assert(entry.has_effect<answer_unknown>(), "the other two may have run");
 }
 
 Test(entry_reducer, caller_that_goes_away_cancels_its_lookup)
 {
     driven_entry entry;
     entry.arrive(1, "lookup");
-    entry.take(caller_gone{number(1)});
-    cr_assert(entry.says<cancel_upstream>());
+    entry.reduce(caller_gone{number(1)});
+    cr_assert(entry.has_effect<cancel_upstream>());
     cr_assert_eq(entry.reducer.counters().slots_in_use, 0);
 }
 
@@ -171,14 +171,14 @@
     upstream_id const leaving = entry.find<start_upstream>()->upstream;
     upstream_head_received head = head_of(1);
     head.leaving = true;
-    entry.take(head);
-    entry.take(upstream_answer_finished{number(1), std::nullopt});
+    entry.reduce(head);
+    entry.reduce(upstream_answer_finished{number(1), std::nullopt});
     for (std::uint64_t each = 2; each < 10; ++each)
     {
         entry.arrive(each, "lookup");
         cr_assert(entry.find<start_upstream>()->upstream != leaving);
-        entry.take(head_of(each));
-        entry.take(upstream_answer_finished{number(each), std::nullopt});
+        entry.reduce(head_of(each));
+        entry.reduce(upstream_answer_finished{number(each), std::nullopt});
     }
 }
 
@@ -193,12 +193,12 @@
     {
         upstream.leaving = upstream.id == leaving;
     }
-    entry.take(configuration_received{2, drained});
+    entry.reduce(configuration_received{2, drained});
     for (std::uint64_t each = 1; each < 10; ++each)
     {
         entry.arrive(each, "lookup");
         cr_assert(entry.find<start_upstream>()->upstream != leaving);
-        entry.take(head_of(each));
-        entry.take(upstream_answer_finished{number(each), std::nullopt});
+        entry.reduce(head_of(each));
+        entry.reduce(upstream_answer_finished{number(each), std::nullopt});
     }
 }
--- a/tests/unit/entry/guarded_request_test.cpp
+++ b/tests/unit/entry/guarded_request_test.cpp
@@ -18,7 +18,7 @@
     sent_grant()
     {
         this->arrive(1, "grant", "k");
-        this->take(claim_answered{one, once::claim_granted{}});
+        this->reduce(claim_answered{one, once::claim_granted{}});
     }
 
     void answer_it()
@@ -26,8 +26,8 @@
         upstream_head_received head;
         head.request = one;
         head.status = 201;
-        this->take(head);
-        this->take(upstream_answer_finished{
+        this->reduce(head);
+        this->reduce(upstream_answer_finished{
             one, once::recorded_answer{201, "text/plain", {'o', 'k'}, false}});
     }
 };
@@ -38,10 +38,10 @@
 {
     driven_entry entry;
     entry.arrive(1, "grant", "k");
-    cr_assert(entry.says<request_claim>());
-    cr_assert_not(entry.says<start_upstream>());
-    entry.take(claim_answered{one, once::claim_granted{}});
-    cr_assert(entry.says<start_upstream>());
+    cr_assert(entry.has_effect<request_claim>());
+    cr_assert_not(entry.has_effect<start_upstream>());
+    entry.reduce(claim_answered{one, once::claim_granted{}});
+    cr_assert(entry.has_effect<start_upstream>());
     cr_assert(entry.find<start_upstream>()->run_once);
 }
 
@@ -61,11 +61,11 @@
     {
         driven_entry entry;
         entry.arrive(1, "grant", "k");
-        entry.take(claim_answered{one, each.verdict});
-        cr_assert_eq(entry.acts(), 1);
-        cr_assert_eq(entry.said.size(), 2, "and the record of its end");
-        cr_assert_not(entry.says<start_upstream>());
-        cr_assert_eq(entry.reducer.under_way(), 0);
+        entry.reduce(claim_answered{one, each.verdict});
+        cr_assert_eq(entry.action_count(), 1);
+        cr_assert_eq(entry.last_effects.size(), 2, "and the record of its end");
+        cr_assert_not(entry.has_effect<start_upstream>());
+        cr_assert_eq(entry.reducer.requests_in_progress(), 0);
         if (each.problem != 0)
         {
             cr_assert_eq(entry.find<answer_problem>()->status, each.problem);
@@ -73,15 +73,15 @@
     }
 }
 
-Test(guarded_request, answer_is_recorded_before_its_caller_hears_it)
+Test(guarded_request, answer_is_recorded_before_its_caller_receives_it)
 {
     sent_grant entry;
     entry.answer_it();
-    cr_assert(entry.says<report_completion>());
-    cr_assert_not(entry.says<answer_collected>());
-    entry.take(completion_stored{one});
-    cr_assert(entry.says<answer_collected>());
-    cr_assert_eq(entry.reducer.under_way(), 0);
+    cr_assert(entry.has_effect<report_completion>());
+    cr_assert_not(entry.has_effect<answer_collected>());
+    entry.reduce(completion_stored{one});
+    cr_assert(entry.has_effect<answer_collected>());
+    cr_assert_eq(entry.reducer.requests_in_progress(), 0);
 }
 
 Test(guarded_request, answer_reaches_its_caller_though_no_quorum_records_it)
@@ -90,16 +90,16 @@
     // caller gets the answer after a short wait; a repeat meanwhile hears
     // "in progress" and never runs.
     sent_grant entry;
-    entry.take(control_unreachable{});
+    entry.reduce(control_unreachable{});
     entry.answer_it();
-    entry.after(entry.reducer.settings().record_wait);
-    cr_assert(entry.says<answer_collected>());
+    entry.advance(entry.reducer.settings().record_timeout);
+    cr_assert(entry.has_effect<answer_collected>());
 }
 
 Test(guarded_request, grant_without_control_host_is_not_run_at_once)
 {
     driven_entry entry;
-    entry.take(control_unreachable{});
+    entry.reduce(control_unreachable{});
     entry.arrive(1, "grant", "k");
     cr_assert(entry.find<answer_not_run>()->reason ==
               refusal_reason::claim_refused);
@@ -111,35 +111,35 @@
     // the late grant kept, every repeat would hear "in progress" for ever.
     driven_entry entry;
     entry.arrive(1, "grant", "k");
-    entry.after(2s);
-    cr_assert(entry.says<answer_not_run>());
-    entry.take(claim_answered{one, once::claim_granted{}});
-    cr_assert(entry.says<report_release>());
-    cr_assert_not(entry.says<start_upstream>());
+    entry.advance(2s);
+    cr_assert(entry.has_effect<answer_not_run>());
+    entry.reduce(claim_answered{one, once::claim_granted{}});
+    cr_assert(entry.has_effect<report_release>());
+    cr_assert_not(entry.has_effect<start_upstream>());
 }
 
 Test(guarded_request, grant_that_was_never_sent_releases_its_claim)
 {
     sent_grant entry;
-    while (!entry.says<answer_not_run>())
+    while (!entry.has_effect<answer_not_run>())
     {
         entry.fail(1, exchange_phase::not_sent);
-        if (!entry.says<answer_not_run>())
+        if (!entry.has_effect<answer_not_run>())
         {
-            entry.after_pause();
+            entry.advance_past_pause();
         }
     }
-    cr_assert(entry.says<report_release>());
-    cr_assert(entry.says<answer_not_run>());
+    cr_assert(entry.has_effect<report_release>());
+    cr_assert(entry.has_effect<answer_not_run>());
 }
 
 Test(guarded_request, grant_whose_answer_is_lost_is_reported_unknown)
 {
     sent_grant entry;
     entry.fail(1, exchange_phase::maybe_sent);
-    cr_assert(entry.says<report_unknown>());
-    cr_assert(entry.says<answer_unknown>());
-    cr_assert_not(entry.says<start_upstream>());
+    cr_assert(entry.has_effect<report_unknown>());
+    cr_assert(entry.has_effect<answer_unknown>());
+    cr_assert_not(entry.has_effect<start_upstream>());
 }
 
 Test(guarded_request, grant_whose_caller_left_goes_on_and_is_recorded)
@@ -147,23 +147,23 @@
     // The caller's connection breaks while its grant runs, and it will ask
     // again with the same key. Cancelling would make the outcome unknown.
     sent_grant entry;
-    entry.take(caller_gone{one});
-    cr_assert_not(entry.says<cancel_upstream>());
-    entry.after(5s);
-    cr_assert_not(entry.says<answer_unknown>());
+    entry.reduce(caller_gone{one});
+    cr_assert_not(entry.has_effect<cancel_upstream>());
+    entry.advance(5s);
+    cr_assert_not(entry.has_effect<answer_unknown>());
     entry.answer_it();
-    cr_assert(entry.says<report_completion>());
-    cr_assert_eq(entry.reducer.under_way(), 0);
+    cr_assert(entry.has_effect<report_completion>());
+    cr_assert_eq(entry.reducer.requests_in_progress(), 0);
 }
 
 Test(guarded_request, late_grant_is_unknown_to_its_caller_and_still_recorded)
 {
     sent_grant entry;
-    entry.after(2s);
-    cr_assert(entry.says<answer_unknown>());
+    entry.advance(2s);
+    cr_assert(entry.has_effect<answer_unknown>());
     entry.answer_it();
-    cr_assert(entry.says<report_completion>());
-    cr_assert_not(entry.says<answer_collected>());
+    cr_assert(entry.has_effect<report_completion>());
+    cr_assert_not(entry.has_effect<answer_collected>());
 }
 
 // A caller's first sending died with its entry host after it was forwarded.
@@ -175,9 +175,9 @@
     driven_entry entry;
     entry.repeated = true;
     entry.arrive(1, "grant", "k");
-    entry.take(claim_answered{one, once::claim_refused{}});
-    cr_assert_not(entry.says<answer_not_run>());
-    cr_assert(entry.says<answer_unknown>());
+    entry.reduce(claim_answered{one, once::claim_refused{}});
+    cr_assert_not(entry.has_effect<answer_not_run>());
+    cr_assert(entry.has_effect<answer_unknown>());
     cr_assert(entry.find<answer_unknown>()->retry_after > duration::zero());
 }
 
@@ -188,16 +188,16 @@
     driven_entry entry;
     entry.repeated = true;
     entry.arrive(1, "grant", "k");
-    entry.take(claim_answered{one, once::claim_granted{}});
+    entry.reduce(claim_answered{one, once::claim_granted{}});
     bool refused = false;
     for (int tries = 0; tries < 50 && !refused; ++tries)
     {
         entry.fail(1, exchange_phase::not_sent);
-        cr_assert_not(entry.says<answer_unknown>());
-        refused = entry.says<answer_not_run>();
-        entry.after_pause();
-        cr_assert_not(entry.says<answer_unknown>());
-        refused = refused || entry.says<answer_not_run>();
+        cr_assert_not(entry.has_effect<answer_unknown>());
+        refused = entry.has_effect<answer_not_run>();
+        entry.advance_past_pause();
+        cr_assert_not(entry.has_effect<answer_unknown>());
+        refused = refused || entry.has_effect<answer_not_run>();
     }
     cr_assert(refused);
 }
--- a/tests/unit/entry/limited_upstream_test.cpp
+++ b/tests/unit/entry/limited_upstream_test.cpp
@@ -15,7 +15,7 @@
 
 /// The rule counts requests within this span, from so long after the limit
 /// was first named.
-constexpr duration contact_time = 4s;
+constexpr duration propagation_time = 4s;
 constexpr std::size_t fleet_sizes[] = {2, 10, 80, 300};
 constexpr double limits[] = {0.5, 1.7, 2.7, 10};
 
@@ -27,12 +27,12 @@
 
 void expect_limit_kept(upstream_fleet const& fleet, double limit)
 {
-    cr_assert(fleet.first_named().has_value());
-    std::size_t const most = fleet.most_limited_within(
-        contact_time, *fleet.first_named() + contact_time);
-    cr_expect_leq(static_cast<double>(most), allowed(limit),
+    cr_assert(fleet.limit_first_named_at().has_value());
+    std::size_t const max_count = fleet.max_limited_within(
+        propagation_time, *fleet.limit_first_named_at() + propagation_time);
+    cr_expect_leq(static_cast<double>(max_count), allowed(limit),
                   "%zu hosts, limit %.1f: %zu in 4 s", fleet.hosts(), limit,
-                  most);
+                  max_count);
 }
 
 /// Requests come to hosts drawn by lot, so many a second over all of them.
@@ -72,7 +72,7 @@
 // Guards against a limit that is kept by sending nothing.
 Test(limited_upstream, limit_is_used)
 {
-    constexpr double least_use = 0.7;
+    constexpr double min_use = 0.7;
     for (std::size_t const hosts : fleet_sizes)
     {
         for (double const limit : limits)
@@ -83,7 +83,7 @@
             instant const begin = fleet.now;
             send_requests(fleet, 40, 30s);
             double const sent = static_cast<double>(fleet.limited_since(begin));
-            cr_expect_geq(sent, least_use * limit * 30,
+            cr_expect_geq(sent, min_use * limit * 30,
                           "%zu hosts, limit %.1f: %.0f in 30 s", hosts, limit,
                           sent);
         }
@@ -126,7 +126,7 @@
 }
 
 // Guards against a limit that outlives the upstream's need.
-Test(limited_upstream, limit_ends_on_all_hosts_once_one_hears_its_end)
+Test(limited_upstream, limit_ends_on_all_hosts_once_one_receives_its_end)
 {
     for (std::size_t const hosts : fleet_sizes)
     {
@@ -155,10 +155,10 @@
     fleet.set_limit(lower);
     instant const changed = fleet.now;
     send_requests(fleet, 40, 15s);
-    std::size_t const most =
-        fleet.most_limited_within(contact_time, changed + contact_time);
-    cr_expect_leq(static_cast<double>(most), allowed(lower), "%zu in 4 s",
-                  most);
+    std::size_t const max_count =
+        fleet.max_limited_within(propagation_time, changed + propagation_time);
+    cr_expect_leq(static_cast<double>(max_count), allowed(lower), "%zu in 4 s",
+                  max_count);
 }
 
 // Guards against callers that wait in vain where all upstreams are at their
--- a/tests/unit/entry/object_placement_test.cpp
+++ b/tests/unit/entry/object_placement_test.cpp
@@ -18,7 +18,7 @@
     host.arrive(number, path, object);
     std::string const upstream = host.sent_to();
     host.answer(number, 200);
-    host.take(upstream_answer_finished{request_number{number}, {}});
+    host.reduce(upstream_answer_finished{request_number{number}, {}});
     return upstream;
 }
 
@@ -32,8 +32,9 @@
         arrival.request = static_cast<request_number>(number);
         arrival.host = "a.example";
         arrival.path = "/r/x";
-        effects const said = reducer.reduce(arrival, now);
-        start_upstream const* const order = find_effect<start_upstream>(said);
+        effects const decided = reducer.reduce(arrival, now);
+        start_upstream const* const order =
+            find_effect<start_upstream>(decided);
         cr_assert_not_null(order);
         far += order->upstream == upstream_id("read-far") ? 1 : 0;
         upstream_head_received head;
@@ -54,7 +55,7 @@
 Test(object_placement, same_name_on_two_routes_is_two_objects)
 {
     routed_entry host;
-    int apart = 0;
+    int different = 0;
     std::uint64_t number = 0;
     for (std::uint64_t object = 1; object <= 30; ++object)
     {
@@ -62,11 +63,12 @@
             first_upstream(host, ++number, "/fetch/x", object);
         std::string const booked =
             first_upstream(host, ++number, "/book/x", object);
-        apart += fetched != booked ? 1 : 0;
+        different += fetched != booked ? 1 : 0;
         cr_expect_eq(first_upstream(host, ++number, "/fetch/y", object),
                      fetched, "an object keeps its upstream");
     }
-    cr_expect_gt(apart, 10, "of three upstreams two thirds differ by chance");
+    cr_expect_gt(different, 10,
+                 "of three upstreams two thirds differ by chance");
 }
 
 // Upstreams of another region were started anew, and callers are planned
@@ -84,17 +86,17 @@
             each.cold_until = host.now + 3s;
         }
     }
-    host.take(upstreams_listed{listed});
-    host.take(regions_planned{{{service_id("read"), region_id("r2"), 1.0}}});
+    host.reduce(upstreams_listed{listed});
+    host.reduce(regions_planned{{{service_id("read"), region_id("r2"), 1.0}}});
     for (std::uint64_t number = 1; number <= 20; ++number)
     {
         host.arrive(number, "/r/x");
         cr_expect_neq(host.sent_to(), "read-far");
         cr_expect_neq(host.sent_to(), "", "its own region has room");
         host.answer(number, 200);
-        host.take(upstream_answer_finished{request_number{number}, {}});
+        host.reduce(upstream_answer_finished{request_number{number}, {}});
     }
-    host.after(3s + 1ms);
+    host.advance(3s + 1ms);
     host.arrive(100, "/r/x");
     cr_expect_eq(host.sent_to(), "read-far");
 }
@@ -104,15 +106,16 @@
 // its own, must find a place.
 Test(object_placement, plan_may_come_before_the_own_region_is_known)
 {
-    routed_entry started;
+    routed_entry restarted_host;
     entry_reducer reducer(routed_entry::make_settings(), test_seed);
-    reducer.reduce(configuration_received{1, started.configuration},
-                   started.now);
+    reducer.reduce(configuration_received{1, restarted_host.configuration},
+                   restarted_host.now);
     reducer.reduce(
         regions_planned{{{service_id("read"), region_id("r2"), 0.4}}},
-        started.now);
-    reducer.reduce(upstreams_listed{started.listing()}, started.now);
-    int const far = far_requests(reducer, started.now);
+        restarted_host.now);
+    reducer.reduce(upstreams_listed{restarted_host.listing()},
+                   restarted_host.now);
+    int const far = far_requests(reducer, restarted_host.now);
     cr_expect_geq(far, 17);
     cr_expect_leq(far, 23, "0.4 of 50, and what a region may be ahead");
 }
@@ -122,15 +125,16 @@
 // objects are not known, until the bounded pace has brought the shares back.
 Test(object_placement, plan_that_came_before_the_configuration_is_followed)
 {
-    routed_entry started;
+    routed_entry restarted_host;
     entry_reducer reducer(routed_entry::make_settings(), test_seed);
     reducer.reduce(
         regions_planned{{{service_id("read"), region_id("r2"), 0.4}}},
-        started.now);
-    reducer.reduce(configuration_received{1, started.configuration},
-                   started.now);
-    reducer.reduce(upstreams_listed{started.listing()}, started.now);
-    int const far = far_requests(reducer, started.now);
+        restarted_host.now);
+    reducer.reduce(configuration_received{1, restarted_host.configuration},
+                   restarted_host.now);
+    reducer.reduce(upstreams_listed{restarted_host.listing()},
+                   restarted_host.now);
+    int const far = far_requests(reducer, restarted_host.now);
     cr_expect_geq(far, 17);
     cr_expect_leq(far, 23);
 }
--- a/tests/unit/entry/routed_entry.hpp
+++ b/tests/unit/entry/routed_entry.hpp
@@ -59,9 +59,9 @@
             content->request_routes.back().object_affinity = true;
         }
         this->configuration = content;
-        this->take(configuration_received{1, content});
-        this->take(upstreams_listed{this->listing()});
-        this->take(entry_hosts_counted{4, 4});
+        this->reduce(configuration_received{1, content});
+        this->reduce(upstreams_listed{this->listing()});
+        this->reduce(entry_hosts_counted{4, 4});
     }
 
     static entry_settings make_settings()
@@ -103,10 +103,10 @@
         return all;
     }
 
-    effects const& take(event const& happened)
+    effects const& reduce(event const& event)
     {
-        this->said = this->reducer.reduce(happened, this->now);
-        return this->said;
+        this->last_effects = this->reducer.reduce(event, this->now);
+        return this->last_effects;
     }
 
     effects const& arrive(std::uint64_t number, std::string const& path,
@@ -117,13 +117,13 @@
         arrival.object = object;
         arrival.host = "a.example";
         arrival.path = path;
-        return this->take(arrival);
+        return this->reduce(arrival);
     }
 
     template <class Effect>
     Effect const* find() const
     {
-        return find_effect<Effect>(this->said);
+        return find_effect<Effect>(this->last_effects);
     }
 
     /// The upstream that the last event sent a request to.
@@ -141,19 +141,19 @@
         head.status = status;
         head.not_run = not_run;
         head.misdirected = misdirected;
-        return this->take(head);
+        return this->reduce(head);
     }
 
-    effects const& after(duration time)
+    effects const& advance(duration time)
     {
         this->now += time;
-        return this->take(tick{});
+        return this->reduce(tick{});
     }
 
     instant now = instant{} + 1h;
     entry_reducer reducer{make_settings(), test_seed};
     std::shared_ptr<config::configuration const> configuration;
-    effects said;
+    effects last_effects;
 };
 
 } // namespace bilberrylead::entry
--- a/tests/unit/entry/routed_request_test.cpp
+++ b/tests/unit/entry/routed_request_test.cpp
@@ -45,22 +45,22 @@
 {
     routed_entry host;
     host.arrive(1, "/w/x");
-    host.take(upstream_failed{request_number{1}, exchange_phase::maybe_sent,
-                              exchange_fault::connection_lost});
+    host.reduce(upstream_failed{request_number{1}, exchange_phase::maybe_sent,
+                                exchange_fault::connection_lost});
     cr_expect_not_null(host.find<answer_unknown>());
     cr_expect_null(host.find<answer_not_run>());
-    host.after(1s);
+    host.advance(1s);
     cr_expect(host.sent_to().empty());
 }
 
 // The upstream itself says that it did not run it.
-Test(routed_request, unsafe_request_that_was_turned_away_goes_elsewhere)
+Test(routed_request, unsafe_request_that_was_refused_is_retried_elsewhere)
 {
     routed_entry host;
     host.arrive(1, "/w/x");
     std::string const first = host.sent_to();
     host.answer(1, 503, true);
-    host.after(200ms);
+    host.advance(200ms);
     cr_expect(!host.sent_to().empty() && host.sent_to() != first);
 }
 
@@ -74,11 +74,11 @@
     host.answer(1, 421, true, true);
     for (std::uint64_t number = 2; number < 30; ++number)
     {
-        host.after(50ms);
+        host.advance(50ms);
         host.arrive(number, "/w/x");
         cr_expect(host.sent_to() != gone);
         host.answer(number, 200);
-        host.take(upstream_answer_finished{request_number{number}, {}});
+        host.reduce(upstream_answer_finished{request_number{number}, {}});
     }
 }
 
@@ -88,20 +88,20 @@
     host.arrive(1, "/r/x");
     std::string const first = host.sent_to();
     host.answer(1, 500);
-    cr_expect_null(host.find<pass_answer_on>());
-    host.after(200ms);
+    cr_expect_null(host.find<stream_answer>());
+    host.advance(200ms);
     cr_expect(!host.sent_to().empty() && host.sent_to() != first);
     host.answer(1, 500);
-    cr_expect_not_null(host.find<pass_answer_on>(),
+    cr_expect_not_null(host.find<stream_answer>(),
                        "the second failure is delivered as it is");
 }
 
-Test(routed_request, failed_answer_of_an_unsafe_request_is_passed_on)
+Test(routed_request, failed_answer_of_an_unsafe_request_is_streamed)
 {
     routed_entry host;
     host.arrive(1, "/w/x");
     host.answer(1, 500);
-    cr_expect_not_null(host.find<pass_answer_on>());
+    cr_expect_not_null(host.find<stream_answer>());
 }
 
 Test(routed_request, attempts_of_the_route_bound_the_tries)
@@ -109,7 +109,7 @@
     routed_entry host;
     host.arrive(1, "/w/x");
     host.answer(1, 503, true);
-    host.after(200ms);
+    host.advance(200ms);
     host.answer(1, 503, true);
     cr_expect_not_null(host.find<answer_not_run>());
 }
@@ -117,13 +117,13 @@
 Test(routed_request, closed_zone_gets_no_new_request)
 {
     routed_entry host;
-    host.take(configuration_received{2, nullptr, {zone_id("z1")}});
+    host.reduce(configuration_received{2, nullptr, {zone_id("z1")}});
     for (std::uint64_t number = 1; number < 20; ++number)
     {
         host.arrive(number, "/r/x");
         cr_expect(host.sent_to() == "read-2" || host.sent_to().empty());
         host.answer(number, 200);
-        host.take(upstream_answer_finished{request_number{number}, {}});
+        host.reduce(upstream_answer_finished{request_number{number}, {}});
     }
 }
 
@@ -132,15 +132,15 @@
 Test(routed_request, zone_that_was_opened_is_treated_as_cold)
 {
     routed_entry host;
-    host.take(configuration_received{2, nullptr, {zone_id("z1")}});
-    host.take(configuration_received{3, nullptr, {}});
+    host.reduce(configuration_received{2, nullptr, {zone_id("z1")}});
+    host.reduce(configuration_received{3, nullptr, {}});
     std::map<std::string, int> sent;
     for (std::uint64_t number = 1; number <= 40; ++number)
     {
         host.arrive(number, "/r/x");
         ++sent[host.sent_to()];
         host.answer(number, 200);
-        host.take(upstream_answer_finished{request_number{number}, {}});
+        host.reduce(upstream_answer_finished{request_number{number}, {}});
     }
     cr_expect_leq(sent["read-0"] + sent["read-1"], 2);
 }
@@ -154,7 +154,7 @@
         host.arrive(number, "/split/x");
         read += host.sent_to().starts_with("read-") ? 1 : 0;
         host.answer(number, 200);
-        host.take(upstream_answer_finished{request_number{number}, {}});
+        host.reduce(upstream_answer_finished{request_number{number}, {}});
     }
     cr_expect_gt(read, 270);
     cr_expect_lt(read, 330);
@@ -165,9 +165,9 @@
 {
     routed_entry host;
     host.arrive(1, "/w/x");
-    host.after(990ms);
+    host.advance(990ms);
     cr_expect_null(host.find<answer_unknown>());
-    host.after(20ms);
+    host.advance(20ms);
     cr_expect_not_null(host.find<answer_unknown>());
 }
 
@@ -176,19 +176,19 @@
 Test(routed_request, bounded_stop_takes_no_callers_in_its_second_half)
 {
     routed_entry host;
-    host.take(drain_requested{});
-    host.after(2s);
+    host.reduce(drain_requested{});
+    host.advance(2s);
     host.arrive(1, "/r/x");
-    host.after(500ms);
-    cr_expect_null(host.find<stop_taking_callers>());
-    host.after(250ms);
-    cr_expect_not_null(host.find<stop_taking_callers>());
+    host.advance(500ms);
+    cr_expect_null(host.find<stop_accepting_connections>());
+    host.advance(250ms);
+    cr_expect_not_null(host.find<stop_accepting_connections>());
     cr_expect_null(host.find<drained>(), "a request is under way");
 }
 
 // What may be kept in one region only must not leave it, though the own
 // region has upstreams that are nearer and idle.
-Test(routed_request, route_with_a_home_runs_in_that_region_only)
+Test(routed_request, route_with_a_region_runs_in_that_region_only)
 {
     routed_entry host;
     for (std::uint64_t number = 1; number <= 30; ++number)
@@ -196,9 +196,9 @@
         host.arrive(number, "/home/x");
         cr_expect(host.sent_to() == "read-far" || host.sent_to().empty());
         host.answer(number, 200);
-        host.take(upstream_answer_finished{request_number{number}, {}});
+        host.reduce(upstream_answer_finished{request_number{number}, {}});
     }
-    host.take(configuration_received{2, nullptr, {zone_id("z3")}});
+    host.reduce(configuration_received{2, nullptr, {zone_id("z3")}});
     host.arrive(31, "/home/x");
     cr_expect_not_null(host.find<answer_not_run>(),
                        "not sent to another region instead");
@@ -214,7 +214,7 @@
         host.arrive(number, "/r/x");
         cr_expect(host.sent_to() != "read-far");
         host.answer(number, 200);
-        host.take(upstream_answer_finished{request_number{number}, {}});
+        host.reduce(upstream_answer_finished{request_number{number}, {}});
     }
 }
 
@@ -232,9 +232,9 @@
         head.request = request_number{100 + number};
         head.status = 200;
         head.load = upstream_load{3, 60};
-        host.take(head);
-        host.take(upstream_answer_finished{head.request, {}});
-        host.after(5s);
+        host.reduce(head);
+        host.reduce(upstream_answer_finished{head.request, {}});
+        host.advance(5s);
     }
     host.arrive(200, "/home/x");
     cr_expect_eq(host.sent_to(), "read-far");
@@ -243,9 +243,9 @@
 // An upstream that came back cold crashes. 24 entry hosts of its region each
 // have one request for it in the same second; each of them has a token saved,
 // and the bound over all hosts is 12.8.
-Test(routed_request, cold_upstream_gets_its_bound_from_however_many_hosts)
+Test(routed_request, cold_upstream_is_bounded_over_any_number_of_hosts)
 {
-    int most = 0;
+    int max_sent = 0;
     for (int upstream = 0; upstream < 200; ++upstream)
     {
         int sent = 0;
@@ -255,12 +255,12 @@
                 12.8, 24,
                 std::hash<host_id>{}(host_id(fmt::format("edge-{}", host))));
             service_state state(config::work_length::brief, 1);
-            config::upstream told;
-            told.id = upstream_id(fmt::format("i-{}", upstream));
-            told.slots = 3;
+            config::upstream upstream_config;
+            upstream_config.id = upstream_id(fmt::format("i-{}", upstream));
+            upstream_config.slots = 3;
             instant const now = instant{} + 1h;
-            state.configure({{&told, {}, 0, false, now + 3s}});
-            state.set_shares(share, 0);
+            state.configure({{&upstream_config, {}, 0, false, now + 3s}});
+            state.set_host_shares(share, 0);
             policy::placement_question question;
             question.to_aim = 1s;
             question.to_deadline = 3s;
@@ -269,13 +269,13 @@
                 if (std::holds_alternative<policy::placed>(
                         state.place(question, {}, {}, now)))
                 {
-                    state.take_slot(told.id, now);
+                    state.acquire_slot(upstream_config.id, now);
                     ++sent;
                 }
             }
         }
-        most = std::max(most, sent);
+        max_sent = std::max(max_sent, sent);
     }
-    cr_expect_leq(most, 12);
-    cr_expect_gt(most, 0, "somebody must see that it is warm again");
+    cr_expect_leq(max_sent, 12);
+    cr_expect_gt(max_sent, 0, "somebody must see that it is warm again");
 }
--- a/tests/unit/entry/split_over_hosts_test.cpp
+++ b/tests/unit/entry/split_over_hosts_test.cpp
@@ -44,11 +44,11 @@
     /// Each host gets so many requests.
     void request_each(int count)
     {
-        for (std::size_t place = 0; place < this->fleet.size(); ++place)
+        for (std::size_t host = 0; host < this->fleet.size(); ++host)
         {
             for (int request = 0; request < count; ++request)
             {
-                this->first += this->fleet.sent_to(place) == "first" ? 1U : 0U;
+                this->first += this->fleet.sent_to(host) == "first" ? 1U : 0U;
                 ++this->sent;
             }
         }
@@ -76,7 +76,7 @@
 };
 
 /// Some hundreds of requests, a few for each host.
-constexpr traffic few_each[] = {{80, 12}, {300, 3}, {300, 1}};
+constexpr traffic traffic_patterns[] = {{80, 12}, {300, 3}, {300, 1}};
 
 constexpr std::uint32_t full_weight = 100;
 constexpr std::uint32_t first_weights[] = {1, 10, 25, 50, 75, 99};
@@ -86,7 +86,7 @@
 void for_all_fleets(Check const& check)
 {
     constexpr std::uint64_t first_start = 1'770'000'000'000;
-    for (traffic const& each : few_each)
+    for (traffic const& each : traffic_patterns)
     {
         for (std::uint32_t const weight : first_weights)
         {
--- a/tests/unit/entry/upstream_fleet.hpp
+++ b/tests/unit/entry/upstream_fleet.hpp
@@ -27,7 +27,7 @@
     /// The listing shows changes so much later.
     duration listing_lag = 1s;
     /// What one entry host tells reaches the others so much later.
-    duration news_lag = 50ms;
+    duration peer_delay = 50ms;
     /// Time that a run takes.
     duration run = 100ms;
     /// Requests a second that upstream 0 names as its limit; nothing: none.
@@ -39,19 +39,19 @@
 class upstream_fleet
 {
 public:
-    explicit upstream_fleet(upstream_fleet_settings const& chosen)
-        : settings(chosen), processes(chosen.hosts), incarnations(chosen.hosts)
+    explicit upstream_fleet(upstream_fleet_settings const& given)
+        : settings(given), processes(given.hosts), incarnations(given.hosts)
     {
-        for (std::size_t slot = 0; slot < chosen.upstreams; ++slot)
+        for (std::size_t slot = 0; slot < given.upstreams; ++slot)
         {
-            this->places.push_back({0, true});
+            this->upstream_slots.push_back({0, true});
         }
         this->content = make_one_route({{service_id("read"), 1}});
         config::request_route& route = this->content->request_routes.front();
         route.idempotent = true;
         route.most_attempts = 2;
         route.timeout = 2s;
-        for (std::size_t host = 0; host < chosen.hosts; ++host)
+        for (std::size_t host = 0; host < given.hosts; ++host)
         {
             this->start_host(host);
         }
@@ -60,27 +60,28 @@
     /// Starts an entry host, anew if it runs. It knows nothing of before.
     void start_host(std::size_t host)
     {
-        entry_settings given;
-        given.self = host_id(fmt::format("edge-{}", host));
-        given.zone = zone_id("z1");
-        given.region = region_id("r1");
-        given.places = {{zone_id("z1"), region_id("r1"), {}}};
-        given.upstreams_are_listed = true;
-        given.waiting = config::waiting_place::upstream;
-        given.retries.slack = 1000;
+        entry_settings host_settings;
+        host_settings.self = host_id(fmt::format("edge-{}", host));
+        host_settings.zone = zone_id("z1");
+        host_settings.region = region_id("r1");
+        host_settings.places = {{zone_id("z1"), region_id("r1"), {}}};
+        host_settings.upstreams_are_listed = true;
+        host_settings.waiting = config::waiting_place::upstream;
+        host_settings.retries.slack = 1000;
         ++this->incarnations[host];
         this->processes[host] = std::make_unique<entry_reducer>(
-            given, process_seed(given.self, this->incarnations[host]));
-        this->give(host, configuration_received{1, this->content});
-        this->give(host, upstreams_listed{this->listing()});
-        this->give(host, entry_hosts_counted{this->processes.size(),
-                                             this->processes.size()});
+            host_settings,
+            process_seed(host_settings.self, this->incarnations[host]));
+        this->deliver(host, configuration_received{1, this->content});
+        this->deliver(host, upstreams_listed{this->listing()});
+        this->deliver(host, entry_hosts_counted{this->processes.size(),
+                                                this->processes.size()});
         // Whoever it links to tells what is known.
         for (std::size_t other = 0; other < this->processes.size(); ++other)
         {
             if (other != host && this->processes[other] != nullptr)
             {
-                this->exchange(other, host);
+                this->send_all_records(other, host);
             }
         }
     }
@@ -93,46 +94,48 @@
         arrival.digest = digest;
         this->digests[arrival.request] = digest;
         ++this->arrived[digest];
-        this->give(host, arrival);
+        this->deliver(host, arrival);
     }
 
     /// Ends an upstream, with all that runs there.
     void end_upstream(std::size_t slot)
     {
-        place& ended = this->places[slot];
-        if (!ended.alive)
+        upstream_slot& ended = this->upstream_slots[slot];
+        if (!ended.is_running)
         {
             return;
         }
-        ended.alive = false;
+        ended.is_running = false;
         ++this->ended_count;
         std::map<request_number, run> const lost =
             std::exchange(ended.running, {});
         for (auto const& [number, each] : lost)
         {
-            this->give_later(1ms, each.host, each.incarnation,
-                             upstream_failed{number, exchange_phase::maybe_sent,
-                                             exchange_fault::connection_lost});
+            this->deliver_later(
+                1ms, each.host, each.incarnation,
+                upstream_failed{number, exchange_phase::maybe_sent,
+                                exchange_fault::connection_lost});
         }
-        this->later(this->settings.restart,
-                    [this, slot]
-                    {
-                        ++this->places[slot].incarnation;
-                        this->places[slot].alive = true;
-                        this->list_later();
-                    });
+        this->schedule(this->settings.restart,
+                       [this, slot]
+                       {
+                           ++this->upstream_slots[slot].incarnation;
+                           this->upstream_slots[slot].is_running = true;
+                           this->publish_listing_later();
+                       });
     }
 
     /// Resets every connection to an upstream, which goes on running.
     void reset_upstream(std::size_t slot)
     {
         std::map<request_number, run> const lost =
-            std::exchange(this->places[slot].running, {});
+            std::exchange(this->upstream_slots[slot].running, {});
         for (auto const& [number, each] : lost)
         {
-            this->give_later(1ms, each.host, each.incarnation,
-                             upstream_failed{number, exchange_phase::maybe_sent,
-                                             exchange_fault::connection_lost});
+            this->deliver_later(
+                1ms, each.host, each.incarnation,
+                upstream_failed{number, exchange_phase::maybe_sent,
+                                exchange_fault::connection_lost});
         }
     }
 
@@ -151,32 +154,32 @@
             }
             for (std::size_t host = 0; host < this->processes.size(); ++host)
             {
-                this->give(host, tick{});
+                this->deliver(host, tick{});
             }
         }
     }
 
     /// Cuts a host off from the others, or joins it to them again.
-    void set_cut(std::size_t host, bool cut)
+    void set_partitioned(std::size_t host, bool is_partitioned)
     {
-        if (cut)
+        if (is_partitioned)
         {
-            this->cut_off.insert(host);
+            this->partitioned.insert(host);
             return;
         }
-        this->cut_off.erase(host);
+        this->partitioned.erase(host);
         for (std::size_t other = 0; other < this->processes.size(); ++other)
         {
             if (other != host)
             {
-                this->exchange(other, host);
-                this->exchange(host, other);
+                this->send_all_records(other, host);
+                this->send_all_records(host, other);
             }
         }
     }
 
     /// Upstreams that ended so far.
-    std::size_t ended() const
+    std::size_t ended_upstreams() const
     {
         return this->ended_count;
     }
@@ -185,17 +188,17 @@
     std::size_t runs_of(std::uint64_t digest, instant since = {}) const
     {
         std::size_t count = 0;
-        for (auto const& [sent, what] : this->sendings)
+        for (auto const& [sent, run_digest] : this->sendings)
         {
-            count += what == digest && sent >= since ? 1U : 0U;
+            count += run_digest == digest && sent >= since ? 1U : 0U;
         }
         return count;
     }
 
     /// When upstream 0 first named its limit.
-    std::optional<instant> first_named() const
+    std::optional<instant> limit_first_named_at() const
     {
-        return this->named_at;
+        return this->limit_named_at;
     }
 
     /// Changes what upstream 0 names from now on.
@@ -217,19 +220,19 @@
 
     /// Most requests that reached upstream 0 in any span of that length,
     /// from an instant on.
-    std::size_t most_limited_within(duration span, instant from) const
+    std::size_t max_limited_within(duration span, instant from) const
     {
-        std::size_t most = 0;
+        std::size_t max_count = 0;
         for (instant const& begin : this->limited_sendings)
         {
             if (begin >= from)
             {
                 std::size_t const within = this->limited_since(begin) -
                                            this->limited_since(begin + span);
-                most = std::max(most, within);
+                max_count = std::max(max_count, within);
             }
         }
-        return most;
+        return max_count;
     }
 
     /// When the request ended an upstream for the third time.
@@ -262,7 +265,7 @@
         return this->processes.size();
     }
 
-    static constexpr std::uint64_t crashing = 0xc0ffee;
+    static constexpr std::uint64_t crashing_digest = 0xc0ffee;
 
     instant now = instant{} + 1h;
 
@@ -273,10 +276,10 @@
         std::uint64_t incarnation = 0;
     };
 
-    struct place
+    struct upstream_slot
     {
         std::uint64_t incarnation = 0;
-        bool alive = true;
+        bool is_running = true;
         std::map<request_number, run> running = {};
     };
 
@@ -288,81 +291,85 @@
     std::shared_ptr<listed_upstreams const> listing() const
     {
         auto all = std::make_shared<listed_upstreams>();
-        for (std::size_t slot = 0; slot < this->places.size(); ++slot)
+        for (std::size_t slot = 0; slot < this->upstream_slots.size(); ++slot)
         {
             all->push_back(make_listed(
-                "read", name_of(slot, this->places[slot].incarnation), 3));
+                "read", name_of(slot, this->upstream_slots[slot].incarnation),
+                3));
             all->back().upstream.address.port =
                 static_cast<std::uint16_t>(slot + 1);
         }
         return all;
     }
 
-    void list_later()
+    void publish_listing_later()
     {
         std::shared_ptr<listed_upstreams const> const all = this->listing();
         for (std::size_t host = 0; host < this->processes.size(); ++host)
         {
-            this->later(this->settings.listing_lag,
-                        [this, host, all]
-                        {
-                            this->give(host, upstreams_listed{all});
-                        });
+            this->schedule(this->settings.listing_lag,
+                           [this, host, all]
+                           {
+                               this->deliver(host, upstreams_listed{all});
+                           });
         }
     }
 
-    void later(duration wait, std::function<void()> what)
+    void schedule(duration wait, std::function<void()> action)
     {
-        this->pending.emplace(this->now + wait, std::move(what));
+        this->pending.emplace(this->now + wait, std::move(action));
     }
 
-    void give_later(duration wait, std::size_t host, std::uint64_t incarnation,
-                    event happened)
+    void deliver_later(duration wait, std::size_t host,
+                       std::uint64_t incarnation, event event)
     {
-        this->later(wait,
-                    [this, host, incarnation, happened = std::move(happened)]
-                    {
-                        if (this->incarnations[host] == incarnation)
-                        {
-                            this->give(host, happened);
-                        }
-                    });
+        this->schedule(wait,
+                       [this, host, incarnation, event = std::move(event)]
+                       {
+                           if (this->incarnations[host] == incarnation)
+                           {
+                               this->deliver(host, event);
+                           }
+                       });
     }
 
-    void give(std::size_t host, event const& happened)
+    void deliver(std::size_t host, event const& event)
     {
         for (effect const& each :
-             this->processes[host]->reduce(happened, this->now))
+             this->processes[host]->reduce(event, this->now))
         {
             std::visit(
-                [this, host](auto const& what)
+                [this, host](auto const& effect)
                 {
-                    this->carry_out(host, what);
+                    this->carry_out(host, effect);
                 },
                 each);
         }
     }
 
-    bool is_cut(std::size_t one, std::size_t other) const
+    bool are_partitioned(std::size_t one, std::size_t other) const
     {
-        return this->cut_off.contains(one) != this->cut_off.contains(other);
+        return this->partitioned.contains(one) !=
+               this->partitioned.contains(other);
     }
 
     /// One host tells another all that it knows.
-    void exchange(std::size_t from, std::size_t to)
+    void send_all_records(std::size_t from, std::size_t to)
     {
-        this->tell(from, to, this->processes[from]->crash_records().all());
+        this->send_records(from, to,
+                           this->processes[from]->crash_records().all());
     }
 
-    void tell(std::size_t from, std::size_t to,
-              std::vector<policy::crash_record> const& records)
+    void send_records(std::size_t from, std::size_t to,
+                      std::vector<policy::crash_record> const& records)
     {
-        if (records.empty() || this->is_cut(from, to))
+        if (records.empty() || this->are_partitioned(from, to))
         {
             return;
         }
-        this->give_later(this->settings.news_lag, to, this->incarnations[to],
-                         crash_records_heard{from, records});
+        this->deliver_later(this->settings.peer_delay, to,
+                            this->incarnations[to],
+                            crash_records_received{from, records});
     }
 
     template <class Other>
@@ -373,17 +380,17 @@
     void carry_out(std::size_t host, start_upstream const& order)
     {
         std::size_t const slot = order.address.port - 1U;
-        place& upstream = this->places[slot];
+        upstream_slot& upstream = this->upstream_slots[slot];
         std::uint64_t const digest = this->digests[order.request];
         std::uint64_t const incarnation = this->incarnations[host];
         bool const is_same =
             order.upstream.text() == name_of(slot, upstream.incarnation);
-        if (!upstream.alive)
+        if (!upstream.is_running)
         {
-            this->give_later(1ms, host, incarnation,
-                             upstream_failed{order.request,
-                                             exchange_phase::not_sent,
-                                             exchange_fault::connect_failed});
+            this->deliver_later(
+                1ms, host, incarnation,
+                upstream_failed{order.request, exchange_phase::not_sent,
+                                exchange_fault::connect_failed});
             return;
         }
         if (!is_same)
@@ -393,7 +400,7 @@
             head.status = 421;
             head.misdirected = true;
             head.not_run = true;
-            this->give_later(1ms, host, incarnation, head);
+            this->deliver_later(1ms, host, incarnation, head);
             return;
         }
         this->sendings.emplace_back(this->now, digest);
@@ -402,44 +409,46 @@
             this->limited_sendings.push_back(this->now);
         }
         upstream.running[order.request] = {host, incarnation};
-        this->later(this->settings.run,
-                    [this, slot, number = order.request, digest]
-                    {
-                        this->end_run(slot, number, digest);
-                    });
+        this->schedule(this->settings.run,
+                       [this, slot, number = order.request, digest]
+                       {
+                           this->end_run(slot, number, digest);
+                       });
     }
 
     void carry_out(std::size_t host, probe_upstream const& wanted)
     {
-        bool const alive = this->places[wanted.address.port - 1U].alive;
-        this->give_later(
+        bool const is_running =
+            this->upstream_slots[wanted.address.port - 1U].is_running;
+        this->deliver_later(
             1ms, host, this->incarnations[host],
-            upstream_probed{wanted.upstream, alive ? probe_outcome::taken
-                                                   : probe_outcome::refused});
+            upstream_probed{wanted.upstream, is_running
+                                                 ? probe_outcome::accepted
+                                                 : probe_outcome::refused});
     }
 
-    void carry_out(std::size_t host, tell_crash_records const& wanted)
+    void carry_out(std::size_t host, send_crash_records const& wanted)
     {
         for (std::size_t other = 0; other < this->processes.size(); ++other)
         {
             if (other != host &&
                 (!wanted.only_to.has_value() || other == *wanted.only_to))
             {
-                this->tell(host, other, wanted.records);
+                this->send_records(host, other, wanted.records);
             }
         }
     }
 
-    void carry_out(std::size_t host, tell_limits const& wanted)
+    void carry_out(std::size_t host, send_limits const& wanted)
     {
         host_id const sender(fmt::format("edge-{}", host));
         for (std::size_t other = 0; other < this->processes.size(); ++other)
         {
-            if (other != host && !this->is_cut(host, other))
+            if (other != host && !this->are_partitioned(host, other))
             {
-                this->give_later(this->settings.news_lag, other,
-                                 this->incarnations[other],
-                                 limits_heard{sender, wanted.reports});
+                this->deliver_later(this->settings.peer_delay, other,
+                                    this->incarnations[other],
+                                    limits_received{sender, wanted.reports});
             }
         }
     }
@@ -454,13 +463,13 @@
 
     void end_run(std::size_t slot, request_number number, std::uint64_t digest)
     {
-        place& upstream = this->places[slot];
+        upstream_slot& upstream = this->upstream_slots[slot];
         auto const running = upstream.running.find(number);
         if (running == upstream.running.end())
         {
             return;
         }
-        if (digest == crashing)
+        if (digest == crashing_digest)
         {
             this->crashes.push_back(this->now);
             this->end_upstream(slot);
@@ -475,12 +484,12 @@
             head.request = number;
             head.status = 200;
             head.limit = slot == 0 ? this->settings.limit : std::nullopt;
-            if (head.limit.has_value() && !this->named_at.has_value())
+            if (head.limit.has_value() && !this->limit_named_at.has_value())
             {
-                this->named_at = this->now;
+                this->limit_named_at = this->now;
             }
-            this->give(done.host, head);
-            this->give(done.host, upstream_answer_finished{number, {}});
+            this->deliver(done.host, head);
+            this->deliver(done.host, upstream_answer_finished{number, {}});
         }
     }
 
@@ -488,7 +497,7 @@
     std::shared_ptr<config::configuration> content;
     std::vector<std::unique_ptr<entry_reducer>> processes;
     std::vector<std::uint64_t> incarnations;
-    std::vector<place> places;
+    std::vector<upstream_slot> upstream_slots;
     std::multimap<instant, std::function<void()>> pending;
     std::map<request_number, std::uint64_t> digests;
     std::map<std::uint64_t, std::size_t> arrived;
@@ -496,9 +505,9 @@
     std::vector<std::pair<instant, std::uint64_t>> sendings;
     std::vector<instant> crashes;
     std::vector<instant> limited_sendings;
-    std::optional<instant> named_at;
+    std::optional<instant> limit_named_at;
     std::size_t ended_count = 0;
-    std::set<std::size_t> cut_off;
+    std::set<std::size_t> partitioned;
     std::map<std::uint64_t, std::size_t> refusals;
     std::uint64_t last_request = 0;
 };
