--- a/bilberrylead/entry/body_rules.hpp
+++ b/bilberrylead/entry/body_rules.hpp
@@ -6,14 +6,15 @@
 namespace bilberrylead::entry
 {
 
-/// What is done with the body of a request before it is decided on.
+/// How the body of a request is read before the reducer handles the request.
 struct body_rules
 {
-    /// False if nothing serves such a request: its body is not read.
+    /// False if no route or service matches; the body is then not read.
     bool is_served = false;
-    /// Largest body that is taken, bytes.
+    /// Largest accepted body, in bytes.
     std::size_t max_bytes = 0;
-    /// True if the whole body must be here first, for its digest.
+    /// True if the complete body must be received before the request is
+    /// handled, because its digest is needed.
     bool buffer_body = false;
 };
 
--- a/bilberrylead/entry/drain_life_cycle.cpp
+++ b/bilberrylead/entry/drain_life_cycle.cpp
@@ -25,8 +25,9 @@
 {
 };
 
-/// States in the order in which MSM numbers them: those that a row of the
-/// table starts from, by their first row, then those without a way on.
+/// States in the order in which MSM numbers them: first the source states of
+/// the transition table, by their first row, then the states without outgoing
+/// transitions.
 constexpr std::array state_of_number = {
     drain_state::serving, drain_state::withdrawing, drain_state::finishing,
     drain_state::ended};
--- a/bilberrylead/entry/drain_life_cycle.hpp
+++ b/bilberrylead/entry/drain_life_cycle.hpp
@@ -8,26 +8,27 @@
 namespace bilberrylead::entry
 {
 
-/// The steps of a planned stop, in their only order. A step that comes out
-/// of order changes nothing: a drain that is asked for twice is one drain.
+/// State machine of a drain. A transition that the current state does not allow
+/// is ignored, so a repeated drain request has no effect.
 class drain_life_cycle
 {
 public:
-    /// Starts as serving.
+    /// Starts in `serving`.
     drain_life_cycle();
     ~drain_life_cycle();
     drain_life_cycle(drain_life_cycle const&) = delete;
     drain_life_cycle& operator=(drain_life_cycle const&) = delete;
 
-    /// The state now.
+    /// Current state.
     drain_state current() const;
 
-    /// The stop was asked for; true if it was not before.
+    /// Begins the drain. Returns true if it had not begun before.
     bool begin();
-    /// The last steering answer that may name this host has expired; true if
-    /// that is news.
+    /// Records that the last steering answer that may name this host has
+    /// expired. Returns true if this changed the state.
     bool expire_answers();
-    /// Nothing is under way; true if that ends the drain now.
+    /// Records that no request is in progress. Returns true if this ended the
+    /// drain.
     bool end();
 
 private:
--- a/bilberrylead/entry/drain_state.hpp
+++ b/bilberrylead/entry/drain_state.hpp
@@ -4,16 +4,18 @@
 namespace bilberrylead::entry
 {
 
-/// How far a planned stop of this entry host is.
+/// Progress of a planned stop of this entry host.
 enum class drain_state
 {
-    /// No stop is wanted.
+    /// No drain has been requested.
     serving,
-    /// Out of new steering answers; callers may still hold old ones.
+    /// New steering answers no longer name this host; callers may still hold
+    /// earlier ones.
     withdrawing,
-    /// No steering answer names this host; work goes on to its end.
+    /// No valid steering answer names this host; requests in progress are
+    /// finished.
     finishing,
-    /// Nothing is under way.
+    /// No request is in progress.
     ended,
 };
 
--- a/bilberrylead/entry/effect.hpp
+++ b/bilberrylead/entry/effect.hpp
@@ -23,257 +23,244 @@
 namespace bilberrylead::entry
 {
 
-/// Send the request to this upstream. Any earlier exchange of the request
-/// has ended.
+/// Sends the request to an upstream. Any earlier exchange of the request has
+/// ended.
 struct start_upstream
 {
-    /// The request.
     request_number request{};
-    /// Where it goes.
+    /// Target upstream.
     upstream_id upstream;
-    /// The upstream's address.
     config::endpoint address;
-    /// When the caller stops waiting; told to the upstream as time left.
+    /// End of the caller's wait; sent to the upstream as the remaining time.
     instant deadline{};
-    /// Longest silence within the answer.
+    /// Longest time without progress within the answer.
     duration progress_timeout{};
-    /// True for work that may not be repeated: only a connection that was
-    /// in use a moment ago, or a new one, may carry it.
+    /// True for requests that must not be repeated: only a new connection, or
+    /// one that was used very recently, may carry them.
     bool run_once = false;
-    /// True after a failed try: the old connections may all have gone
-    /// silent, so only a new one may carry it.
+    /// True after a failed attempt: all existing connections may be dead, so
+    /// only a new one may carry the request.
     bool new_connection_only = false;
 };
 
-/// Stream the upstream's answer to the caller as it comes.
+/// Streams the upstream's answer to the caller as it arrives.
 struct stream_answer
 {
-    /// The request.
     request_number request{};
 };
 
-/// Read the upstream's answer whole, up to the limit for records, and
-/// report it by upstream_answer_finished.
+/// Reads the complete answer of the upstream, up to the size limit of records,
+/// and reports it by `upstream_answer_finished`.
 struct collect_answer
 {
-    /// The request.
     request_number request{};
 };
 
-/// Give the caller the answer that was collected.
+/// Sends the collected answer to the caller.
 struct answer_collected
 {
-    /// The request.
     request_number request{};
 };
 
-/// Final answer: it was not run and will not be.
+/// Final answer: the request was not run and will not be run.
 struct answer_not_run
 {
-    /// The request.
     request_number request{};
-    /// Why.
+    /// Reason of the refusal.
     refusal_reason reason{};
-    /// When the caller should come back.
+    /// Delay after which the caller should retry.
     duration retry_after{};
 };
 
-/// Final answer: it may have run, nobody can say.
+/// Final answer: the request may have run; its outcome cannot be determined.
 struct answer_unknown
 {
-    /// The request.
     request_number request{};
-    /// Why.
+    /// Reason why the outcome is unknown.
     refusal_reason reason{};
-    /// When to ask again; zero if asking again tells no more.
+    /// Delay after which the caller should retry; zero if a retry yields no
+    /// further information.
     duration retry_after{};
 };
 
-/// Final answer: what the first run of this work answered.
+/// Final answer: the recorded answer of the first run of this work.
 struct answer_recorded
 {
-    /// The request.
     request_number request{};
-    /// The record.
+    /// The recorded answer.
     once::recorded_answer answer;
 };
 
-/// Final answer: the request is refused for what it is (400, 404, 409,
-/// 422); it was not run.
+/// Final answer: the request itself is refused (400, 404, 409, 422); it was not
+/// run.
 struct answer_problem
 {
-    /// The request.
     request_number request{};
     /// HTTP status.
     std::uint16_t status = 0;
-    /// Why.
+    /// Reason of the refusal.
     refusal_reason reason{};
-    /// When to come back; zero if coming back is no use.
+    /// Delay after which the caller should retry; zero if a retry is of no use.
     duration retry_after{};
 };
 
-/// Ask the control hosts for the claim; claim_answered follows.
+/// Requests the claim from the control hosts, which reply by `claim_answered`.
 struct request_claim
 {
-    /// The request.
     request_number request{};
-    /// The piece of work.
+    /// Key of the claimed work.
     once::claim_key key;
     /// Digest of method, target and body.
     std::uint64_t body_digest = 0;
 };
 
-/// The claimed work ran: make its answer durable; completion_stored follows.
+/// The claimed work has run: stores its answer durably, which is confirmed by
+/// `completion_stored`.
 struct report_completion
 {
-    /// The request that ran it.
+    /// The request that ran the work.
     request_number request{};
-    /// The piece of work.
+    /// Key of the claimed work.
     once::claim_key key;
-    /// What it answered.
+    /// Answer to store.
     once::recorded_answer answer;
 };
 
-/// The claimed work was not run: free the claim.
+/// The claimed work was not run: releases the claim.
 struct report_release
 {
-    /// The request that held it.
+    /// The request that held the claim.
     request_number request{};
-    /// The piece of work.
+    /// Key of the claimed work.
     once::claim_key key;
 };
 
-/// The claimed work may have run, its answer is lost.
+/// The claimed work may have run, but its answer is lost.
 struct report_unknown
 {
-    /// The request that held it.
+    /// The request that held the claim.
     request_number request{};
-    /// The piece of work.
+    /// Key of the claimed work.
     once::claim_key key;
 };
 
-/// End the exchange now; its connection is never used again.
+/// Ends the exchange immediately; its connection is not reused.
 struct cancel_upstream
 {
-    /// The request.
     request_number request{};
 };
 
-/// From now on every answer ends its connection.
+/// Closes each caller connection after its next answer from now on.
 struct close_connections_after_answer
 {
 };
 
-/// How a request ended, for the log and for whoever explains it later. No
+/// Reports how a request ended, for the log and for later diagnosis. Has no
 /// effect on the request.
 struct request_ended
 {
-    /// The request.
     request_number request{};
-    /// The service, empty if none was found.
+    /// The service; empty if none was found.
     service_id service;
-    /// Revision by which its route was found; 0 if none was.
+    /// Configuration revision by which the route was found; 0 if none was
+    /// found.
     bilberrylead::revision routed_by = 0;
-    /// How its service was drawn; nothing if nothing was drawn.
+    /// Draw that selected the service; empty if none was made.
     std::optional<split_draw> split;
-    /// How.
+    /// How the request ended.
     request_outcome outcome = request_outcome::answered;
-    /// Why, unless it was answered.
+    /// Reason of the outcome, unless the request was answered.
     std::optional<refusal_reason> reason;
-    /// Status of the upstream's answer, 0 if there is none.
+    /// HTTP status of the upstream's answer; 0 if there is none.
     std::uint16_t status = 0;
-    /// Digest of what repeats of it have in common; 0 if unknown.
+    /// Digest that is shared by repeats of the request; 0 if unknown.
     std::uint64_t digest = 0;
-    /// Who sent it.
+    /// The caller that sent the request.
     caller_id caller;
-    /// The upstreams that were tried, in order.
+    /// Attempted upstreams, in order.
     std::vector<upstream_id> tried;
-    /// Region it was planned for; empty if there was no plan.
+    /// Region that the region plan selected; empty if there was no plan.
     region_id region;
-    /// Wait for a slot that was expected there, or at the best upstream of
-    /// those that were too busy.
+    /// Expected wait for a slot at the selected upstream, or at the best one if
+    /// all were too busy.
     duration expected_wait{};
-    /// How many times longer than usual the run was expected to be.
+    /// Expected run time relative to the usual run time.
     double run_factor = 1;
-    /// Time a run usually takes in the service, as believed.
+    /// Estimated usual run time of the service.
     duration usual_run{};
-    /// Time from its arrival to its end here.
+    /// Time from arrival at this host to the end.
     duration took{};
-    /// Time from its last sending to the answer's head; zero if none came.
+    /// Time from the last attempt to the head of its answer; zero if none
+    /// arrived.
     duration time_to_head{};
 };
 
-/// See whether an upstream takes connections; upstream_probed follows.
+/// Tries to connect to an upstream; `upstream_probed` reports the result.
 struct probe_upstream
 {
-    /// The upstream.
     upstream_id upstream;
-    /// Its address.
     config::endpoint address;
 };
 
-/// Connections to an upstream were lost, and it is known now whether it
-/// ended. For the log.
+/// Reports whether an upstream to which connections were lost has ended. For
+/// the log.
 struct connection_loss_resolved
 {
-    /// The upstream.
     upstream_id upstream;
-    /// True if it ended, false if it takes connections.
+    /// True if the upstream has ended, false if it accepts connections.
     bool ended = false;
 };
 
-/// An upstream's limit has changed. For the log.
+/// Reports that an upstream's rate limit has changed. For the log.
 struct upstream_limit_changed
 {
-    /// The upstream.
     upstream_id upstream;
-    /// Requests a second from all entry hosts; nothing: no limit any more.
+    /// Requests per second from all entry hosts; empty if there is no limit any
+    /// more.
     std::optional<double> per_second;
-    /// True if another host told it.
+    /// True if the change was received from another host.
     bool from_peer = false;
 };
 
-/// The record of a request under which upstreams ended has changed. For the
-/// log.
+/// Reports that the crash record of a request has changed. For the log.
 struct crash_record_changed
 {
-    /// The record.
     policy::crash_record record;
-    /// What follows from it.
+    /// Restriction that follows from the record.
     policy::crash_verdict verdict{};
-    /// True if another host told it.
+    /// True if the change was received from another host.
     bool from_peer = false;
 };
 
-/// Tell other hosts what is known of requests under which upstreams ended.
+/// Sends crash records, of requests during whose runs upstreams ended, to other
+/// hosts.
 struct send_crash_records
 {
-    /// The records.
     std::vector<policy::crash_record> records;
-    /// The only link that they go to; nothing: all links.
+    /// The only link to send to; empty for all links.
     std::optional<std::uint64_t> only_to = std::nullopt;
 };
 
-/// Tell the other entry hosts what was sent to upstreams that name a limit.
+/// Sends the number of requests that went to rate-limited upstreams to the
+/// other entry hosts.
 struct send_limits
 {
-    /// An entry for each upstream to which something has changed.
+    /// One report for each upstream for which something changed.
     std::vector<policy::limit_report> reports;
 };
 
-/// Take no new connections of callers from now on, and close those that
-/// are idle.
+/// Stops accepting caller connections and closes those that are idle.
 struct stop_accepting_connections
 {
 };
 
-/// Nothing is under way any more and no caller is sent here: the process
-/// may end.
+/// No request is in progress and no caller is directed to this host: the
+/// process may end.
 struct drained
 {
 };
 
-/// Everything an entry host can be told to do.
+/// Any action that the reducer requests.
 using effect = std::variant<
     start_upstream, stream_answer, collect_answer, answer_collected,
     answer_not_run, answer_unknown, answer_recorded, answer_problem,
@@ -283,7 +270,7 @@
     upstream_limit_changed, crash_record_changed, send_crash_records,
     send_limits>;
 
-/// Effects in the order in which they are to be carried out.
+/// Effects in the order in which they must be performed.
 using effects = std::vector<effect>;
 
 } // namespace bilberrylead::entry
--- a/bilberrylead/entry/entry_counters.hpp
+++ b/bilberrylead/entry/entry_counters.hpp
@@ -13,15 +13,15 @@
 namespace bilberrylead::entry
 {
 
-/// How many requests of a service ended how, and how long they took.
+/// Outcomes and latencies of a service's requests.
 struct service_counters
 {
-    /// Upper bounds of the latency buckets, milliseconds; one more bucket
-    /// holds what is above the last.
+    /// Upper bounds of the latency buckets, in milliseconds; one more bucket
+    /// holds all larger values.
     static constexpr std::array<std::uint32_t, 12> bounds_ms = {
         1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 5000, 60000};
 
-    /// Answers of upstreams, passed on.
+    /// Upstream answers that were sent to callers.
     std::uint64_t done = 0;
     /// Answers "not run".
     std::uint64_t not_run = 0;
@@ -31,29 +31,30 @@
     std::uint64_t problems = 0;
     /// Answers from the record of an earlier run.
     std::uint64_t recorded = 0;
-    /// Callers that went away before their answer.
+    /// Callers that disconnected before their answer.
     std::uint64_t callers_gone = 0;
-    /// Tries beyond the first.
+    /// Attempts beyond the first.
     std::uint64_t retries = 0;
-    /// Requests by time from arrival to final answer's start.
+    /// Requests by time from arrival to the start of the final answer.
     std::array<std::uint64_t, bounds_ms.size() + 1> latency{};
-    /// Sum of those times.
+    /// Sum of these times.
     duration latency_sum{};
 };
 
-/// What an entry host counts, for metrics. Only ever grows, but for the
-/// two gauges.
+/// Counters of an entry host, for metrics. All but the two gauges increase
+/// monotonically.
 struct entry_counters
 {
-    /// By service; only services of a configuration that was in force.
+    /// Counters by service; only services of a configuration that has been in
+    /// force.
     std::map<service_id, service_counters> services;
-    /// Final answers that were not the upstream's, by reason.
+    /// Final answers other than those of upstreams, by reason.
     std::array<std::uint64_t, refusal_reason_count> refusals{};
-    /// Limits of upstreams that could not be read.
+    /// Rate limits in upstream answers that could not be parsed.
     std::uint64_t unreadable_limits = 0;
-    /// Gauge: requests that hold an upstream's slot now.
+    /// Gauge: requests that hold an upstream slot.
     std::size_t slots_in_use = 0;
-    /// Gauge: requests that wait for a slot now.
+    /// Gauge: requests that wait for a slot.
     std::size_t waiting = 0;
 };
 
--- a/bilberrylead/entry/entry_reducer.cpp
+++ b/bilberrylead/entry/entry_reducer.cpp
@@ -14,11 +14,11 @@
 
 constexpr std::uint16_t status_bad_request = 400;
 constexpr std::uint16_t status_not_found = 404;
-/// What a share is counted in.
+/// Shares are given in thousandths.
 constexpr std::int64_t per_mille = 1000;
-/// Share of the time to stop, in thousandths, in which callers are still
-/// taken: most of them have a new steering answer by then, and the rest is
-/// longer than a request lasts.
+/// Share of the stop time, in thousandths, during which requests are still
+/// accepted. By then most callers have a new steering answer, and the remaining
+/// time is longer than a request takes.
 constexpr std::int64_t accepting_share_of_stop = 450;
 
 } // namespace
@@ -32,7 +32,7 @@
 
 effects entry_reducer::reduce(event const& event, instant time)
 {
-    // The clock of events never runs backwards, whatever the caller does.
+    // Keeps the time of events monotonic, even if the passed times are not.
     this->now = std::max(this->now, time);
     this->pending_effects.clear();
     std::visit(
@@ -127,8 +127,8 @@
     instant const requested_deadline = event.time_left.has_value()
                                            ? this->now + *event.time_left
                                            : request.deadline;
-    // A service's deadline is for callers that name none; a route's timeout
-    // bounds every caller.
+    // A service's deadline applies to callers that send none; a route's timeout
+    // is an upper bound for every caller.
     request.deadline = this->routing->has_routes()
                            ? std::min(requested_deadline, request.deadline)
                            : requested_deadline;
@@ -170,7 +170,7 @@
         this->place(request);
         return;
     }
-    // What would be turned away anyway is turned away before its claim
+    // Requests that would be refused anyway are refused before their claim
     // costs a quorum round trip.
     if (!this->state_of(request.service)
              .accepts_work(request.reachable, this->now))
@@ -224,8 +224,9 @@
 
 void entry_reducer::dispatch_services()
 {
-    // Last in every event and not where a slot is freed: a refusal within
-    // may free another one while its service's queue is being walked.
+    // Runs at the end of each event rather than where a slot is released: a
+    // refusal during dispatch may release another slot while the queue of its
+    // service is being traversed.
     while (!this->services_to_dispatch.empty())
     {
         service_id const service =
@@ -279,8 +280,8 @@
     {
         return;
     }
-    // Callers may hold a steering answer that names this host until it
-    // expires, so requests are taken until then and a little longer.
+    // Callers may hold a steering answer that names this host until it expires,
+    // so requests are accepted until then plus a margin.
     duration const accept_time =
         this->host_settings.steering_ttl + this->host_settings.drain_quiet;
     bool const is_bounded = this->host_settings.stop_time > duration::zero();
@@ -292,8 +293,8 @@
                               : accept_time) &&
         this->drain.expire_answers() && is_bounded)
     {
-        // Whoever comes now would not be served to the end in time; a
-        // refused connection sends it elsewhere at once.
+        // Requests that arrive now could not be completed in time; a refused
+        // connection makes their callers try another host immediately.
         this->pending_effects.push_back(stop_accepting_connections{});
     }
     bool const is_quiet =
--- a/bilberrylead/entry/entry_reducer.hpp
+++ b/bilberrylead/entry/entry_reducer.hpp
@@ -31,83 +31,85 @@
 namespace bilberrylead::entry
 {
 
-/// Decides for one entry host: which upstream runs a request, when it is
-/// tried again, and which final answer its caller gets. Pure: time is passed
-/// in, effects are returned as data, no body byte passes through it.
+/// Decides for one entry host which upstream runs a request, when the request
+/// is retried, and which final answer its caller receives. Pure: the time is
+/// passed in, effects are returned as data, and body bytes do not pass through
+/// it.
 class entry_reducer
 {
 public:
-    /// Makes an entry host that has no configuration yet.
+    /// Creates an entry host without a configuration.
     entry_reducer(entry_settings settings, process_seed const& seed);
 
-    /// Takes one event and says what has to be done, in that order.
+    /// Processes one event and returns the effects to perform, in order.
     effects reduce(event const& event, instant now);
 
-    /// True once a configuration is in force and until a drain begins.
+    /// True from the time a configuration is in force, and the upstream list
+    /// was received if one is used, until a drain begins.
     bool ready() const;
 
-    /// Revision in force; 0 is none.
+    /// Configuration revision in force; 0 if none.
     bilberrylead::revision revision_in_force() const
     {
         return this->revision;
     }
 
-    /// The configuration in force, arranged; null before the first.
+    /// Index of the configuration in force; null before the first.
     routing_table const* routes() const
     {
         return this->routing.get();
     }
 
-    /// The service of that name in force, or null.
+    /// Service by name in the configuration in force; null if there is none.
     config::service const* find_service(service_id const& id) const;
 
-    /// What is done with the body of a request; `service` is the first
-    /// segment of its path, for configurations without routes.
+    /// Rules for the body of a request; `service` is the first path segment,
+    /// which is used by configurations without routes.
     body_rules body_rules_for(service_id const& service,
                               std::string const& host,
                               std::string_view path) const;
 
-    /// What callers may send, if the configuration in force says so; null if
-    /// it leaves that to the settings.
+    /// Limits for callers from the configuration in force; null if the settings
+    /// apply.
     config::caller_limits const* caller_limits() const;
 
-    /// What callers ask of each service now, in slots.
+    /// Current demand for each service, in slots.
     std::map<service_id, double> demands() const;
 
-    /// The zones that are closed now.
+    /// Zones that are currently closed.
     std::set<zone_id> const& closed_zones() const
     {
         return this->closed;
     }
 
-    /// True once a drain was asked for.
+    /// True once a drain has been requested.
     bool draining() const
     {
         return this->drain.current() != drain_state::serving;
     }
 
-    /// Requests that have not come to their end.
+    /// Number of requests that have not ended.
     std::size_t requests_in_progress() const
     {
         return this->live_requests.size();
     }
 
-    /// True until the request has come to its end here.
+    /// True until the request has ended on this host.
     bool contains(request_number number) const
     {
         return this->live_requests.contains(number);
     }
 
-    /// Requests under which upstreams ended, as known here.
+    /// Crash records of requests, held by this host.
     policy::crash_history const& crash_records() const
     {
         return this->crashes;
     }
 
-    /// What was counted so far.
+    /// Current counter values.
     entry_counters const& counters();
 
-    /// What it was made with.
+    /// Settings passed to the constructor.
     entry_settings const& settings() const
     {
         return this->host_settings;
@@ -228,10 +230,12 @@
     std::map<service_id, service_state> service_states;
     std::unordered_map<request_number, live_request> live_requests;
     std::set<timer_entry> timers;
-    // Services that had a slot freed, or lost an upstream, in this event.
+    // Services to dispatch at the end of the event: those with a released slot,
+    // and at each tick all.
     std::set<service_id> services_to_dispatch;
-    // Claims whose requests were given up on before the verdict came: a
-    // grant that comes late must be released, or the work stays claimed.
+    // Claims of requests that were abandoned before the verdict arrived. A
+    // grant that arrives late must be released, otherwise the work stays
+    // claimed.
     std::unordered_map<request_number, once::claim_key> abandoned_claims;
     std::deque<std::pair<instant, request_number>> abandoned_claim_expiries;
     bool control_is_reachable = true;
--- a/bilberrylead/entry/entry_reducer_answers.cpp
+++ b/bilberrylead/entry/entry_reducer_answers.cpp
@@ -14,8 +14,8 @@
 constexpr std::uint16_t status_conflict = 409;
 constexpr std::uint16_t status_unprocessable = 422;
 
-/// How long a late grant is still looked for. A claim that the control hosts
-/// answer after that is theirs to expire.
+/// Time for which the claim of an abandoned request is remembered. A claim that
+/// is granted later expires on the control hosts.
 constexpr duration abandoned_claim_retention = std::chrono::seconds(60);
 
 } // namespace
@@ -64,7 +64,7 @@
     request->life_cycle.pause();
     if (granted)
     {
-        // The records know of no run, so an earlier sending was not run.
+        // No run is on record, so no earlier attempt has run.
         request->holds_claim = true;
         request->earlier_may_have_run = false;
         this->place(*request);
@@ -140,8 +140,8 @@
     case request_state::collecting:
         if (request->guarded)
         {
-            // The work goes on: its caller will ask again with the same key
-            // and must find the answer, not an unknown outcome.
+            // The work continues: the caller will retry with the same key and
+            // must then receive the answer rather than an unknown outcome.
             return;
         }
         break;
@@ -218,7 +218,8 @@
 void entry_reducer::refuse(live_request& request, refusal_reason reason,
                            duration retry_after)
 {
-    // Another try of idempotent work may be refused after one that ran.
+    // A retry of idempotent work may be refused after an earlier attempt has
+    // run.
     if (request.may_have_run)
     {
         this->abandon_as_unknown(request, reason);
--- a/bilberrylead/entry/entry_reducer_configuration.cpp
+++ b/bilberrylead/entry/entry_reducer_configuration.cpp
@@ -5,24 +5,24 @@
 #include <tuple>
 #include <utility>
 
-/// What is in force: configuration, upstreams, shares, plans.
+/// Applies configurations, upstream lists, host counts and region plans.
 namespace bilberrylead::entry
 {
 
 namespace
 {
 
-/// What rates are counted in.
+/// Rates are given in thousandths.
 constexpr double per_mille_real = 1000;
-/// Where a service names no bound for cold upstreams.
+/// Requests per second to cold upstreams if the service sets no bound.
 constexpr double unlimited_rate = 1e9;
 
 } // namespace
 
 void entry_reducer::on(configuration_received const& event)
 {
-    // A late message or a neighbour that lags must not bring back what an
-    // operator has already changed.
+    // A delayed message or a lagging peer must not revert a change that an
+    // operator has already made.
     if (event.revision <= this->revision)
     {
         return;
@@ -64,13 +64,14 @@
     this->apply_region_plan();
 }
 
-/// Services that the configuration brings later follow the same plan: after a
-/// start it often comes first, and without it their first requests would all
-/// run at home.
+/// Applied again after each rebuild: after a start the plan often arrives
+/// before the configuration, and without it the first requests of each service
+/// would all run in the local region.
 void entry_reducer::apply_region_plan()
 {
-    // Numbered first: a plan may come before any upstream of this region is
-    // listed, and each target must have a place for it.
+    // The number of the local region is assigned first: a plan may arrive
+    // before any upstream of this region is listed, and each target needs an
+    // entry for it.
     std::uint32_t const own_region = this->region_number_of(this->own_region());
     std::map<service_id, std::vector<double>> targets;
     for (planned_share const& each : this->region_plan.shares)
@@ -83,7 +84,7 @@
     std::size_t const regions = this->region_numbers.size();
     for (auto& [service, target] : targets)
     {
-        // Shares are rounded on their way.
+        // Shares are rounded in transit; the local region takes the remainder.
         double sum = 0;
         for (double const share : target)
         {
@@ -100,8 +101,8 @@
     }
 }
 
-/// Upstreams whose zone was closed for a while have lost their caches, or
-/// were started anew meanwhile; nobody says so.
+/// Upstreams of a zone that was closed may have lost their caches or been
+/// restarted meanwhile without reporting it, so they are treated as cold.
 void entry_reducer::record_zone_opened(zone_id const& zone)
 {
     if (this->content == nullptr)
@@ -161,7 +162,7 @@
         double const bound = service.cold_rate / per_mille_real *
                                  this->host_settings.cold.factor +
                              this->host_settings.cold.slack;
-        // Each sender may have a saved token to spend in the same second.
+        // Each sender may spend a saved token within the same second.
         policy::cold_share cold{unlimited_rate};
         if (service.cold_rate > 0)
         {
--- a/bilberrylead/entry/entry_reducer_crashes.cpp
+++ b/bilberrylead/entry/entry_reducer_crashes.cpp
@@ -3,12 +3,12 @@
 #include <algorithm>
 #include <utility>
 
-/// Requests under which upstreams end.
+/// Requests during whose runs upstreams end.
 namespace bilberrylead::entry
 {
 
-/// How long the caller has to wait if the request must not run now, because
-/// of what it did to upstreams.
+/// Retry delay if the request must not run now because of its crash record;
+/// empty if it may run.
 std::optional<duration>
 entry_reducer::crash_refusal(live_request const& request) const
 {
@@ -68,12 +68,13 @@
         this->record_upstream_end(event.upstream);
         return;
     case probe_outcome::no_response:
-        // A cut or a frozen upstream; the listing tells if it ended.
+        // Either a network partition or an unresponsive upstream; the upstream
+        // list shows whether it ended.
         return;
     }
 }
 
-/// Upstreams that are listed no more have ended.
+/// Treats upstreams that are no longer listed as ended.
 void entry_reducer::find_ended_upstreams()
 {
     for (upstream_id const& upstream : this->losses.open())
@@ -156,7 +157,7 @@
     }
 }
 
-/// Requests that wait, or pause between tries, must not run any more.
+/// Refuses requests that wait for a slot or for their next attempt.
 void entry_reducer::refuse_crashing(std::uint64_t digest)
 {
     if (this->crashes.verdict_of(digest) != policy::crash_verdict::refused)
--- a/bilberrylead/entry/entry_reducer_limits.cpp
+++ b/bilberrylead/entry/entry_reducer_limits.cpp
@@ -4,7 +4,7 @@
 
 #include <utility>
 
-/// Limits that upstreams name for all entry hosts together.
+/// Rate limits that upstreams set for all entry hosts together.
 namespace bilberrylead::entry
 {
 
@@ -13,7 +13,7 @@
 {
     if (!head.limit_readable)
     {
-        // A limit that cannot be read changes nothing.
+        // A limit that cannot be parsed is ignored.
         ++this->current_counters.unreadable_limits;
         return;
     }
@@ -58,8 +58,8 @@
     }
 }
 
-/// No upstream may take the request now. Where some only wait for their next
-/// token, its caller hears when that comes.
+/// Refuses a request that no upstream can accept now. If some upstreams only
+/// wait for their next token, the retry delay covers that wait.
 void entry_reducer::refuse_unplaced(live_request& request)
 {
     service_state& state = this->state_of(request.service);
--- a/bilberrylead/entry/entry_reducer_placement.cpp
+++ b/bilberrylead/entry/entry_reducer_placement.cpp
@@ -8,17 +8,17 @@
 #include <string>
 #include <variant>
 
-/// Where a request goes, and by which route.
+/// Selection of the route and the upstream of a request.
 namespace bilberrylead::entry
 {
 
 namespace
 {
 
-/// What a share is counted in.
+/// Shares are given in thousandths.
 constexpr std::int64_t per_mille = 1000;
 
-/// The same on every entry host and in every configuration that has the
+/// Identical on every entry host and in every configuration that contains the
 /// route.
 std::uint64_t hash_of(config::request_route const& route)
 {
@@ -51,8 +51,9 @@
                                     config::request_route const& route,
                                     request_arrived const& event)
 {
-    // Each part gets its weight's share of the requests, whatever room it
-    // has: what does not fit there is refused and not moved.
+    // Each target receives the share of requests that its weight gives,
+    // regardless of its free capacity; excess requests are refused rather than
+    // moved to another target.
     std::uint32_t sum = 0;
     for (config::route_target const& target : route.targets)
     {
@@ -92,7 +93,7 @@
     request.object = route.object_affinity
                          ? policy::object_of_route(hash_of(route), event.object)
                          : 0;
-    // Silence within the route's time is no failure.
+    // No progress timeout applies within the timeout of the route.
     request.progress_timeout = route.timeout;
     return true;
 }
@@ -146,7 +147,7 @@
                    this->now);
     if (policy::refuse const* refused = std::get_if<policy::refuse>(&verdict))
     {
-        // It is in no queue, so nothing has to take it out.
+        // The request is in no queue, so it must not be removed from one.
         request.life_cycle.pause();
         this->refuse(request, reason_of(refused->reason), refused->retry_after);
         return;
@@ -189,8 +190,9 @@
     if (!std::holds_alternative<policy::placed>(verdict) &&
         request.region != own_region)
     {
-        // The plan is some seconds old. Home may have room by now; going
-        // the other way is for the plan alone, at its bounded pace.
+        // The plan may be some seconds old and the local region may have free
+        // capacity by now. Requests move to other regions only by the plan, at
+        // its bounded pace.
         verdict = this->find_placement(request, own_region);
     }
     if (policy::placed const* const found =
--- a/bilberrylead/entry/entry_reducer_upstream.cpp
+++ b/bilberrylead/entry/entry_reducer_upstream.cpp
@@ -10,10 +10,10 @@
 namespace
 {
 
-/// Statuses from here on say that the upstream failed.
+/// Statuses from here on count as failures of the upstream.
 constexpr std::uint16_t first_failure_status = 500;
-/// A run takes at least this part of the time to the answer, whatever wait
-/// and way were expected.
+/// A run is assumed to take at least 1/3 of the time to the answer, however
+/// long the expected wait and round trip were.
 constexpr int min_run_divisor = 3;
 
 refusal_reason reason_of(exchange_fault fault)
@@ -156,8 +156,8 @@
     this->record_failure(*request);
     if (request->life_cycle.current() == request_state::streaming)
     {
-        // The caller's connection breaks with the answer: it can see that
-        // the answer is not whole.
+        // The caller's connection is closed with the answer, so the caller can
+        // detect that the answer is incomplete.
         request->outcome = request_outcome::broken_off;
         request->reason = reason;
         this->finish(*request);
@@ -190,9 +190,9 @@
     this->refuse(request, reason);
 }
 
-/// An upstream that fails its answers looks idle and draws work to itself.
-/// What may be repeated is tried elsewhere, if the budget allows; else its
-/// caller gets the failure as it is.
+/// An upstream that fails its answers appears idle and would attract work.
+/// Repeatable requests are retried on another upstream if the budget allows;
+/// otherwise the caller receives the failed answer as it is.
 bool entry_reducer::retry_failed_answer(live_request& request)
 {
     if (!request.repeatable || this->is_last_attempt(request))
@@ -229,8 +229,8 @@
 std::optional<duration> entry_reducer::acquire_retry(live_request& request,
                                                      bool body_usable)
 {
-    // A request that may not be repeated is never sent again once a byte
-    // may have reached an upstream; not even to "make sure".
+    // A request that must not be repeated is never sent again once a byte may
+    // have reached an upstream, not even to find out whether it ran.
     service_state& state = this->state_of(request.service);
     policy::retry_question question;
     question.idempotent = request.repeatable;
@@ -261,8 +261,8 @@
     request.may_have_run = true;
     if (request.guarded)
     {
-        // The caller hears at once that the outcome is unknown; the work
-        // goes on for its record until it falls silent.
+        // The caller is answered at once that the outcome is unknown; the work
+        // continues for its record until it stops making progress.
         request.caller_done = true;
         request.outcome = request_outcome::unknown;
         request.reason = refusal_reason::deadline;
--- a/bilberrylead/entry/entry_settings.hpp
+++ b/bilberrylead/entry/entry_settings.hpp
@@ -17,58 +17,59 @@
 namespace bilberrylead::entry
 {
 
-/// What an entry host decides by, besides the configuration.
+/// Settings of an entry host that are not part of the configuration.
 struct entry_settings
 {
-    /// This host's name in the configuration.
+    /// Id of this host in the configuration.
     host_id self;
-    /// The availability zone it stands in.
+    /// Availability zone of this host.
     zone_id zone;
-    /// The zone's region; empty if only the configuration knows it.
+    /// Region of the zone; empty if only the configuration names it.
     region_id region;
-    /// Zones and regions, where the configuration names none.
+    /// Zones and their regions, used if the configuration names none.
     std::vector<config::place> places;
-    /// One-way latency between regions that have no link configured, where
-    /// `places` are used.
+    /// One-way latency between regions without a configured link, if `places`
+    /// is used.
     duration default_region_latency{};
-    /// True if upstreams come from a list: without it there are none, and
-    /// this host is not ready.
+    /// True if upstreams come from an upstream list: before it is received
+    /// there are none, and this host is not ready.
     bool upstreams_are_listed = false;
-    /// Where requests wait while all slots are taken.
+    /// Where requests wait while all slots are in use.
     config::waiting_place waiting = config::waiting_place::entry_host;
-    /// How requests are placed if they wait at upstreams.
+    /// Placement settings, used if requests wait at upstreams.
     policy::placement_settings placement;
-    /// What may be sent beyond first tries, by all entry hosts.
+    /// Bounds on attempts beyond the first, over all entry hosts.
     config::retry_bounds retries;
-    /// What a cold upstream may get, from all entry hosts.
+    /// Bounds on requests to cold upstreams, over all entry hosts.
     config::cold_bounds cold;
-    /// Longest time between two ticks: deadlines are kept to this grain.
+    /// Longest time between two ticks, and so the precision of deadlines.
     duration tick = std::chrono::milliseconds(10);
-    /// Share of the time left, in thousandths, that a try of an idempotent
-    /// request gets before another upstream is asked; the last try gets all.
+    /// Share of the remaining time, in thousandths, that an attempt of an
+    /// idempotent request may take before another upstream is tried; the last
+    /// attempt may take all of it.
     std::uint32_t attempt_share = 500;
-    /// What pays for further tries.
+    /// Settings of the retry budget.
     policy::retry_budget_settings retry;
-    /// What a caller that is turned away is told to wait.
+    /// Retry delay sent to refused callers.
     duration retry_after = std::chrono::seconds(1);
-    /// What the caller of a request that ended upstreams is told to wait:
-    /// until an operator may have replaced them.
+    /// Retry delay sent if a request is refused because upstreams ended while
+    /// they ran it: time for an operator to replace them.
     duration crash_retry_after = std::chrono::seconds(30);
-    /// How long a collected answer waits for its record to be durable
-    /// before the caller gets it all the same. About three quorum round
-    /// trips between regions 35 ms apart.
+    /// How long a collected answer waits for its durable record before it is
+    /// sent to the caller anyway. About three quorum round trips between
+    /// regions 35 ms apart.
     duration record_timeout = std::chrono::milliseconds(250);
-    /// How long an upstream that said it is leaving gets no new work while
-    /// the configuration does not say so yet.
+    /// How long an upstream that announced that it is leaving receives no new
+    /// requests while the configuration does not mark it yet.
     duration leaving_retention = std::chrono::minutes(10);
-    /// How long callers may use a steering answer. Short, so that a drain
-    /// is over soon; long enough that steering stays a small part of load.
+    /// Validity of a steering answer. Short, so that a drain completes quickly;
+    /// long enough that steering remains a small part of the load.
     duration steering_ttl = std::chrono::seconds(5);
-    /// How long a drain goes on taking requests after the last steering
-    /// answer that may name this host has expired.
+    /// How long a drain accepts requests after the last steering answer that
+    /// may name this host has expired.
     duration drain_quiet = std::chrono::seconds(1);
-    /// Longest time from the order to stop until the process has ended;
-    /// zero: until nothing is under way.
+    /// Longest time from the stop request to the end of the process; zero:
+    /// until no request is in progress.
     duration stop_time{};
 };
 
--- a/bilberrylead/entry/event.hpp
+++ b/bilberrylead/entry/event.hpp
@@ -23,247 +23,241 @@
 namespace bilberrylead::entry
 {
 
-/// A configuration that a quorum accepted, from a control host or from a
-/// neighbour. Anything not newer than what is in force is ignored.
+/// A configuration that a quorum accepted, received from a control host or a
+/// peer. Ignored unless it is newer than the one in force.
 struct configuration_received
 {
-    /// Its revision, from 1.
+    /// Configuration revision, from 1.
     std::uint64_t revision = 0;
-    /// Its content, already checked; null if nothing but zones was ordered
-    /// yet.
+    /// Validated content; null if only zone orders have been accepted so far.
     std::shared_ptr<config::configuration const> content;
-    /// Availability zones whose upstreams get no work.
+    /// Availability zones whose upstreams receive no requests.
     std::set<zone_id> closed_zones = {};
 };
 
-/// The upstreams that there are, from the list of upstreams.
+/// The current upstreams, from the upstream list.
 struct upstreams_listed
 {
-    /// All of them; never null.
+    /// All upstreams; never null.
     std::shared_ptr<std::vector<discovery::listed_upstream> const> upstreams;
 };
 
-/// Share of one service's requests that is to run in one region.
+/// Share of a service's requests that is to run in a region.
 struct planned_share
 {
-    /// The service.
     service_id service;
-    /// Where requests run.
+    /// Region in which the requests run.
     region_id region;
-    /// Share, 0 to 1.
+    /// Share, from 0 to 1.
     double share = 0;
 };
 
-/// Where requests of this host's callers are to run.
+/// Where the requests of this host's callers are to run.
 struct regions_planned
 {
-    /// All shares over 0; a service without any runs at home.
+    /// All shares above 0; a service without any runs in the local region.
     std::vector<planned_share> shares;
 };
 
-/// How many entry hosts are ready, this one among them: what is counted
-/// over all of them is shared among so many.
+/// Number of ready entry hosts, including this one. Bounds over all entry hosts
+/// are divided among them.
 struct entry_hosts_counted
 {
-    /// Their number; at least 1.
+    /// Number of hosts; at least 1.
     std::uint64_t hosts = 1;
-    /// The most of them that stand in one region; at least 1.
+    /// Largest number of them in one region; at least 1.
     std::uint64_t max_per_region = 1;
 };
 
-/// A caller's request is here: its head, and of its body as much as the
-/// service's limits ask for.
+/// A request arrived from a caller: its head, and as much of its body as
+/// `body_rules` requires.
 struct request_arrived
 {
-    /// Its number, new.
+    /// New, unique number of the request.
     request_number request{};
-    /// First segment of its path.
+    /// First segment of the path.
     service_id service;
-    /// Its Host header without port.
+    /// Host header without the port.
     std::string host;
-    /// Its path, without query.
+    /// Path without the query.
     std::string path;
-    /// Hash of the object it is about; 0 if it names none.
+    /// Hash of the object that the request names; 0 if it names none.
     std::uint64_t object = 0;
-    /// The caller's account, or its address where it names none.
+    /// The caller's account, or its address if it names no account.
     caller_id caller;
-    /// The address it came from.
+    /// Address from which the request was sent.
     std::string caller_address;
-    /// As sent; empty if none was.
+    /// Idempotency-Key header; empty if none was sent.
     std::string idempotency_key;
     /// Digest of method, target and body; 0 unless the service is guarded.
     std::uint64_t body_digest = 0;
-    /// Digest of what a repeat of the same request has in common with it:
-    /// host, method, target, account and body; 0 if unknown.
+    /// Digest that repeats of the request share, of host, method, target,
+    /// account and body; 0 if unknown.
     std::uint64_t digest = 0;
-    /// True if the whole body is kept, so that it could be sent again.
+    /// True if the complete body is kept, so that it can be sent again.
     bool body_kept = true;
-    /// True if the caller says that it sent the same request before and had
-    /// no answer, so that it may have run already.
+    /// True if the caller states that it sent this request before without
+    /// receiving an answer, so that it may have run already.
     bool repeated = false;
-    /// Time the caller still gives it; nothing if it named none.
+    /// Time for which the caller will still wait; empty if it named none.
     std::optional<duration> time_left;
 };
 
-/// What the control hosts said to a claim.
+/// Reply of the control hosts to a claim.
 struct claim_answered
 {
-    /// The request that asked.
+    /// The request that requested the claim.
     request_number request{};
-    /// The verdict.
     once::claim_verdict verdict;
 };
 
 /// A reported completion is durable on a quorum.
 struct completion_stored
 {
-    /// The request whose answer it is.
+    /// The request whose answer was stored.
     request_number request{};
 };
 
-/// The head of the upstream's answer is here.
+/// The head of the upstream's answer was received.
 struct upstream_head_received
 {
-    /// The request it answers.
+    /// The answered request.
     request_number request{};
-    /// True if it carries the upstream's word that nothing was run.
+    /// True if the upstream states that it has not run the request.
     bool not_run = false;
-    /// True if it says that the upstream is leaving.
+    /// True if the upstream announces that it is leaving.
     bool leaving = false;
     /// HTTP status.
     std::uint16_t status = 0;
-    /// True if another upstream has this address by now.
+    /// True if the address now belongs to another upstream.
     bool misdirected = false;
-    /// Its load, if it tells that.
+    /// Load of the upstream, if it reports it.
     std::optional<upstream_load> load;
-    /// Requests a second that it takes from all entry hosts, if it names a
-    /// limit.
+    /// Requests per second that the upstream accepts from all entry hosts, if
+    /// it sets a limit.
     std::optional<double> limit;
-    /// False if it names a limit that cannot be read.
+    /// False if the upstream sent a limit that cannot be parsed.
     bool limit_readable = true;
 };
 
-/// The upstream's answer has been read to its end.
+/// The upstream's answer was received completely.
 struct upstream_answer_finished
 {
-    /// The request it answers.
+    /// The answered request.
     request_number request{};
-    /// The answer, if it was collected and not streamed.
+    /// The answer, if it was collected rather than streamed.
     std::optional<once::recorded_answer> collected;
 };
 
-/// How far an exchange had come when it failed.
+/// Progress of an exchange at the time of its failure.
 enum class exchange_phase
 {
     /// No byte can have reached the upstream.
     not_sent,
-    /// Bytes may have reached it; no answer began.
+    /// Bytes may have reached the upstream; no answer had begun.
     maybe_sent,
-    /// The answer began and did not end.
+    /// The answer had begun and was incomplete.
     answer_started,
 };
 
-/// What ended an exchange early.
+/// Cause of a failed exchange.
 enum class exchange_fault
 {
-    /// No connection could be made.
+    /// No connection could be established.
     connect_failed,
     /// The connection was lost.
     connection_lost,
-    /// Nothing came for too long.
+    /// Time-out without progress.
     no_response,
-    /// What came was no valid answer.
+    /// The received data was not a valid answer.
     bad_answer,
 };
 
 /// An exchange with an upstream failed.
 struct upstream_failed
 {
-    /// The request it carried.
     request_number request{};
-    /// How far it had come.
+    /// Progress at the time of the failure.
     exchange_phase phase = exchange_phase::maybe_sent;
-    /// What ended it.
+    /// Cause of the failure.
     exchange_fault fault = exchange_fault::connection_lost;
 };
 
-/// The caller closed its connection before its answer was whole.
+/// The caller closed its connection before it had received the complete answer.
 struct caller_gone
 {
-    /// The request nobody waits for any more.
+    /// The request of that caller.
     request_number request{};
 };
 
-/// An upstream reported how many of its slots are in use.
+/// An upstream reported the number of its slots in use.
 struct load_reported
 {
-    /// Which one.
+    /// The reporting upstream.
     upstream_id upstream;
-    /// Slots in use, work of other entry hosts included.
+    /// Slots in use, including those used by other entry hosts.
     std::uint32_t slots_in_use = 0;
-    /// True if it says that it is leaving.
+    /// True if the upstream announces that it is leaving.
     bool leaving = false;
 };
 
-/// Time passed. Comes at least every `entry_settings::tick`.
+/// Time has passed. Arrives at least every `entry_settings::tick`.
 struct tick
 {
 };
 
-/// The operator or the platform wants this entry host to stop.
+/// The operator or the platform requests that this entry host stop.
 struct drain_requested
 {
 };
 
-/// A control host answers again.
+/// A control host responds again.
 struct control_reachable
 {
 };
 
-/// No control host answers.
+/// No control host responds.
 struct control_unreachable
 {
 };
 
-/// Whether an upstream takes connections.
+/// Result of a connection attempt to an upstream.
 enum class probe_outcome
 {
-    /// It took one.
+    /// The connection was accepted.
     accepted,
-    /// It refused one: nothing listens at its address.
+    /// The connection was refused: no process listens at the address.
     refused,
-    /// Nothing came.
+    /// No response.
     no_response,
 };
 
-/// A connection to an upstream was tried, to see whether it ended.
+/// A connection attempt tested whether an upstream has ended.
 struct upstream_probed
 {
-    /// The upstream.
     upstream_id upstream;
-    /// What came of it.
     probe_outcome outcome{};
 };
 
-/// Another host tells under which requests upstreams ended.
+/// Another host sent its crash records of requests during whose runs upstreams
+/// ended.
 struct crash_records_received
 {
-    /// The link that it came by.
+    /// Link on which the records were received.
     std::uint64_t from = 0;
-    /// What that host knows.
+    /// Records of that host.
     std::vector<policy::crash_record> records;
 };
 
-/// Another entry host tells what it sent to upstreams that name a limit.
+/// Another entry host sent its counts of requests to rate-limited upstreams.
 struct limits_received
 {
-    /// That host.
+    /// The sending host.
     host_id sender;
-    /// What it tells.
     std::vector<policy::limit_report> reports;
 };
 
-/// Everything that can happen to an entry host.
+/// Any event that an entry host handles.
 using event = std::variant<
     configuration_received, request_arrived, claim_answered, completion_stored,
     upstream_head_received, upstream_answer_finished, upstream_failed,
--- a/bilberrylead/entry/live_request.hpp
+++ b/bilberrylead/entry/live_request.hpp
@@ -21,90 +21,89 @@
 namespace bilberrylead::entry
 {
 
-/// A request that has not come to its end here.
+/// A request that has not ended on this host.
 struct live_request
 {
-    /// Its number.
     request_number number{};
-    /// Where it is on its way.
+    /// State of the request.
     request_life_cycle life_cycle;
-    /// The service, as it was configured when the request came.
+    /// The service, as configured when the request arrived.
     service_id service;
-    /// Upstreams it may be sent to; 0 goes by the retry budget's settings.
+    /// Most upstreams it may be sent to; 0 uses the retry budget's settings.
     std::uint32_t max_attempts = 0;
-    /// Regions it may be served in; empty is everywhere.
+    /// Regions in which the request may run; empty for all.
     std::vector<region_id> regions;
-    /// Revision by which its route was found.
+    /// Configuration revision by which the route was found.
     bilberrylead::revision routed_by = 0;
-    /// How its service was drawn; nothing if nothing was drawn.
+    /// Draw that selected the service; empty if none was made.
     std::optional<split_draw> split;
-    /// Digest of what repeats of it have in common; 0 if unknown.
+    /// Digest that is shared by repeats of the request; 0 if unknown.
     std::uint64_t digest = 0;
-    /// Hash of the object it is about; 0 if none.
+    /// Hash of the object that the request names; 0 if none.
     std::uint64_t object = 0;
-    /// When its answer is worth less to its caller.
+    /// Time after which the answer is worth less to the caller.
     instant latency_target = instant::max();
-    /// Number of the region it is to run in; chosen once, so that another
-    /// try does not count as another request there.
+    /// Number of the region in which the request is to run. Selected once, so
+    /// that a retry does not count as another request there.
     std::optional<std::uint32_t> region;
-    /// Wait for a slot that was expected when it was sent.
+    /// Expected wait for a slot at the time of the last attempt.
     duration expected_wait{};
-    /// Time there and back to the upstream it was sent to.
+    /// Round-trip time to the upstream of the last attempt.
     duration round_trip{};
-    /// How many times longer than usual its run was expected to be, since
-    /// its object is not known there.
+    /// Expected run time relative to the usual one, if the object is not known
+    /// to the upstream.
     double run_factor = 1;
-    /// May be sent again.
+    /// True if the request may be sent again.
     bool repeatable = false;
-    /// Holds a claim, or asks for one.
+    /// True if the request holds or requests a claim.
     bool guarded = false;
-    /// True once its claim was granted, until it is reported or released.
+    /// True from the grant of the claim until it is reported or released.
     bool holds_claim = false;
-    /// Its whole body is kept.
+    /// True if the complete body is kept.
     bool body_kept = true;
-    /// Longest silence within its answer.
+    /// Longest time without progress within the answer.
     duration progress_timeout{};
-    /// Who sent it.
+    /// The caller that sent the request.
     caller_id caller;
-    /// From where.
+    /// Address of the caller.
     std::string caller_address;
-    /// The piece of work, if guarded.
+    /// Claim key, if guarded.
     once::claim_key claim;
-    /// Which upstreams its caller reaches, in the configuration in force.
+    /// Upstreams that the caller can reach, in the configuration in force.
     reach reachable;
-    /// Hash of its caller: requests of one flow take turns.
+    /// Hash of the caller: queues alternate between flows.
     std::uint32_t flow = 0;
-    /// When it came.
+    /// Time of arrival.
     instant arrived_at{};
-    /// When it was last sent.
+    /// Time of the last attempt.
     instant sent_at{};
-    /// When its caller stops waiting.
+    /// Time at which the caller stops waiting.
     instant deadline{};
-    /// When it must be looked at again: the end of a try, the deadline, or
-    /// the end of the wait for its record.
+    /// Time of the next timer: the end of the attempt, the deadline, or the end
+    /// of the wait for the record.
     instant timer{};
-    /// Upstreams it was sent to; the last one holds it while it runs.
+    /// Upstreams to which the request was sent; the last one runs it.
     std::vector<upstream_id> tried;
-    /// Address of the last one.
+    /// Address of the last attempted upstream.
     config::endpoint sent_to;
-    /// True once a byte may have reached an upstream that did not take it
-    /// back.
+    /// True once a byte may have reached an upstream that did not then state
+    /// that it had not run the request.
     bool may_have_run = false;
-    /// True while an earlier sending of the same request may have run: the
-    /// caller had no answer to it. A caller that heard "not run" would take
-    /// that for both, and do the work again under another key. A granted
-    /// claim clears it, since the records know of no run then.
+    /// True while an earlier sending of the same request, which the caller got
+    /// no answer to, may have run. The caller would take "not run" as the
+    /// answer to both and repeat the work under another key. A granted claim
+    /// clears this flag, as then no run is on record.
     bool earlier_may_have_run = false;
-    /// How it ends, as far as that is known.
+    /// Outcome, as far as it is known.
     request_outcome outcome = request_outcome::answered;
-    /// Why, unless it was answered.
+    /// Reason of the outcome, unless the request was answered.
     std::optional<refusal_reason> reason;
-    /// Status of the upstream's answer; 0 before.
+    /// HTTP status of the upstream's answer; 0 before it.
     std::uint16_t status = 0;
-    /// Time from the last sending to the answer's head.
+    /// Time from the last attempt to the head of its answer.
     duration time_to_head{};
-    /// True once the caller has its final answer or is gone, while guarded
-    /// work goes on for its record.
+    /// True once the caller has its final answer or has disconnected, while
+    /// guarded work continues for its record.
     bool caller_done = false;
 };
 
--- a/bilberrylead/entry/refusal_reason.hpp
+++ b/bilberrylead/entry/refusal_reason.hpp
@@ -7,36 +7,36 @@
 namespace bilberrylead::entry
 {
 
-/// Why a request's final answer is not its upstream's.
+/// Reason why the final answer of a request is not an upstream's answer.
 enum class refusal_reason
 {
     /// No configuration is in force yet.
     not_ready,
-    /// No service of that name.
+    /// The service is not configured.
     unknown_service,
-    /// The service wants an Idempotency-Key and none came.
+    /// The service requires an Idempotency-Key and none was sent.
     key_missing,
-    /// The key was used before with another body.
+    /// The key was used before with a different body.
     key_mismatch,
-    /// The same piece of work is running now.
+    /// The same work is currently running.
     in_progress,
-    /// No upstream may take this caller's work.
+    /// No upstream may accept this caller's work.
     no_upstream,
-    /// All slots are taken and the waiting line is full.
+    /// All slots are in use and the queue is full.
     no_room,
-    /// This caller already has its share of the waiting line.
+    /// The caller already uses its share of the queue.
     caller_share,
-    /// The deadline passed, or would pass before the work could end.
+    /// The deadline has passed, or would pass before the work could end.
     deadline,
     /// The claim could not be made durable.
     claim_refused,
-    /// The upstream could not be connected to.
+    /// No connection to the upstream could be established.
     connect_failed,
-    /// The upstream turned the request away.
+    /// The upstream refused the request.
     upstream_refused,
-    /// The connection broke after a byte may have reached the upstream.
+    /// The connection was lost after a byte may have reached the upstream.
     connection_lost,
-    /// The upstream kept silent for too long.
+    /// The upstream did not respond in time.
     upstream_silent,
     /// The first run of this work ended without a known answer.
     earlier_unknown,
@@ -47,11 +47,11 @@
     crashes_upstreams,
 };
 
-/// How many reasons there are, for counters.
+/// Number of reasons, for counters.
 constexpr std::size_t refusal_reason_count =
     static_cast<std::size_t>(refusal_reason::crashes_upstreams) + 1;
 
-/// The reason's name as problem bodies, metrics and logs show it.
+/// Name of the reason in problem bodies, metrics and logs.
 std::string_view to_string(refusal_reason reason);
 
 } // namespace bilberrylead::entry
--- a/bilberrylead/entry/request_life_cycle.cpp
+++ b/bilberrylead/entry/request_life_cycle.cpp
@@ -38,8 +38,9 @@
 {
 };
 
-/// States in the order in which MSM numbers them: those that a row of the
-/// table starts from, by their first row, then those without a way on.
+/// States in the order in which MSM numbers them: first the source states of
+/// the transition table, by their first row, then the states without outgoing
+/// transitions.
 constexpr std::array state_of_number = {
     request_state::pausing, request_state::claiming,   request_state::waiting,
     request_state::running, request_state::collecting, request_state::streaming,
@@ -84,7 +85,8 @@
     template <class Machine, class Event>
     void no_transition(Event const&, Machine&, int)
     {
-        assert(!"A request took a step that its state does not allow.");
+        assert(
+            !"request life cycle: transition not allowed in the current state");
     }
 };
 
--- a/bilberrylead/entry/request_life_cycle.hpp
+++ b/bilberrylead/entry/request_life_cycle.hpp
@@ -8,34 +8,34 @@
 namespace bilberrylead::entry
 {
 
-/// Which step of a request may follow which. A step that the present state
-/// does not allow is a fault of the reducer and stops a debug build; the
-/// table leaves no way from an answer that has begun back to another try.
+/// State machine of a request. A transition that the current state does not
+/// allow is a bug of the reducer and stops a debug build. No transition leads
+/// from an answer that has begun back to another attempt.
 class request_life_cycle
 {
 public:
-    /// Starts as pausing.
+    /// Starts in `pausing`.
     request_life_cycle();
     ~request_life_cycle();
     request_life_cycle(request_life_cycle&& other) noexcept;
     request_life_cycle& operator=(request_life_cycle&& other) noexcept;
 
-    /// The state now.
+    /// Current state.
     request_state current() const;
 
-    /// Its claim was asked for.
+    /// The claim has been requested.
     void claim();
-    /// It needs a slot.
+    /// The request needs a slot.
     void wait();
-    /// It is held before its next step, or is about to be refused.
+    /// The request pauses before its next step or is about to be refused.
     void pause();
-    /// It was sent.
+    /// The request has been sent.
     void send();
-    /// Its answer streams to the caller.
+    /// The answer is streamed to the caller.
     void stream();
-    /// Its answer is being collected.
+    /// The answer is being collected.
     void collect();
-    /// Its collected answer is to be recorded.
+    /// The collected answer is being recorded.
     void store();
 
 private:
--- a/bilberrylead/entry/request_number.hpp
+++ b/bilberrylead/entry/request_number.hpp
@@ -6,7 +6,7 @@
 namespace bilberrylead::entry
 {
 
-/// Names one caller's request within one process; counted up, never reused.
+/// Identifies a caller's request within a process; increasing, never reused.
 enum class request_number : std::uint64_t
 {
 };
--- a/bilberrylead/entry/request_outcome.hpp
+++ b/bilberrylead/entry/request_outcome.hpp
@@ -10,21 +10,21 @@
 /// How a request ended for its caller.
 enum class request_outcome : std::uint8_t
 {
-    /// With an upstream's answer, or the record of one.
+    /// Answered by an upstream or from the record of its answer.
     answered,
-    /// "Not run": it did not run and never will.
+    /// The request was not run and will not be run.
     not_run,
-    /// Nobody can say whether it ran.
+    /// Whether the request ran cannot be determined.
     unknown,
-    /// Refused for what it is.
+    /// The request itself was refused.
     problem,
-    /// Its caller had gone.
+    /// The caller had disconnected.
     caller_gone,
-    /// The upstream's answer broke off after it had begun.
+    /// The upstream's answer ended prematurely.
     broken_off,
 };
 
-/// The outcome's name in logs.
+/// Name of the outcome in logs.
 constexpr std::string_view to_string(request_outcome outcome)
 {
     switch (outcome)
--- a/bilberrylead/entry/request_state.hpp
+++ b/bilberrylead/entry/request_state.hpp
@@ -4,22 +4,22 @@
 namespace bilberrylead::entry
 {
 
-/// Where a request is on its way.
+/// State of a request.
 enum class request_state
 {
-    /// Just here, or held for a moment before its next step.
+    /// Just arrived, or pausing before the next step.
     pausing,
-    /// Waits for the verdict on its claim.
+    /// Waiting for the verdict on the claim.
     claiming,
-    /// Waits for a slot.
+    /// Waiting for a slot.
     waiting,
-    /// Sent to an upstream, no answer yet.
+    /// Sent to an upstream; no answer yet.
     running,
-    /// The upstream's answer streams to the caller.
+    /// The upstream's answer is streamed to the caller.
     streaming,
     /// The upstream's answer is being collected for the record.
     collecting,
-    /// The collected answer waits for its record to be durable.
+    /// The collected answer waits until its record is durable.
     storing,
 };
 
--- a/bilberrylead/entry/routing_table.cpp
+++ b/bilberrylead/entry/routing_table.cpp
@@ -147,9 +147,10 @@
         this->blocks = *std::move(built);
         return;
     }
-    // Checked before it was accepted, so this is another version's check.
-    // Callers without a place are still served, from here.
-    part_log("entry").warning("The caller blocks are not used: {}",
+    // The blocks were validated before the configuration was accepted, so
+    // another version with different checks accepted them. Callers without a
+    // location are still served, by this host.
+    part_log("entry").warning("The caller blocks are invalid and ignored: {}",
                               std::string(built.status().message()));
 }
 
--- a/bilberrylead/entry/routing_table.hpp
+++ b/bilberrylead/entry/routing_table.hpp
@@ -16,79 +16,82 @@
 namespace bilberrylead::entry
 {
 
-/// Where a caller is and what selectors match of it.
+/// Location of a caller, and the labels that selectors match.
 struct caller_location
 {
-    /// Its availability zone; empty if no block holds its address.
+    /// Availability zone; empty if no block contains the address.
     zone_id zone;
-    /// Its labels, owned by the table; null if no block holds its address.
+    /// Labels, owned by the table; null if no block contains the address.
     config::labels const* labels = nullptr;
 };
 
-/// One configuration, arranged for look-ups by name. Read only; replaced
-/// whole when another configuration comes into force.
+/// Index of a configuration for look-ups by name. Immutable; replaced as a unit
+/// when another configuration comes into force.
 class routing_table
 {
 public:
-    /// Arranges a configuration; `content` is not null. Of `settings` the
-    /// places are used, if the configuration has none. `listed` are
-    /// upstreams besides the configuration's; may be null.
+    /// Indexes a configuration; `content` is not null. The places in `settings`
+    /// are used if the configuration has none. `listed` holds upstreams in
+    /// addition to the configuration's; may be null.
     explicit routing_table(
         std::shared_ptr<config::configuration const> content,
         entry_settings const& settings = {},
         std::shared_ptr<std::vector<discovery::listed_upstream> const> listed =
             nullptr);
 
-    /// True if requests go by routes; false if the first segment of a path
+    /// True if requests are matched by routes; false if the first path segment
     /// names the service.
     bool has_routes() const
     {
         return !this->content->request_routes.empty();
     }
 
-    /// The route of a request: of its host's routes the one with the longest
-    /// prefix that begins the path; null if there is none.
+    /// Route of a request: among the routes of its host, the one with the
+    /// longest prefix of the path; null if there is none.
     config::request_route const* find_route(std::string const& host,
                                             std::string_view path) const;
 
-    /// What the list says of an upstream besides its configuration; null if
-    /// it does not come from the list.
+    /// Entry of the upstream list for an upstream; null if it is not from the
+    /// list.
     discovery::listed_upstream const*
     find_listed_upstream(upstream_id const& id) const;
 
-    /// The region of a zone; empty if nobody names it.
+    /// Region of a zone; empty if the zone is unknown.
     region_id region_of(zone_id const& zone) const;
 
-    /// The service of that name, or null.
+    /// Service by name; null if there is none.
     config::service const* find_service(service_id const& id) const;
 
-    /// Upstreams of a service, in the order of the configuration.
+    /// Upstreams of a service: listed ones, then those of the configuration in
+    /// their order.
     std::vector<config::upstream const*> const&
     upstreams_of(service_id const& id) const;
 
-    /// Where a caller's address is.
+    /// Location of a caller's address.
     caller_location locate_caller(std::string const& caller_address) const;
 
-    /// True if the selectors let that caller reach that upstream.
+    /// True if the selectors allow the caller to reach the upstream.
     bool can_reach(caller_location const& caller,
                    config::upstream const& upstream) const;
 
-    /// One-way latency from one availability zone to another, zero within
-    /// one and where no link is configured.
+    /// One-way latency from one availability zone to another; zero within one
+    /// and where no link is configured.
     duration distance(zone_id const& from, zone_id const& to) const;
 
-    /// True if the service has selectors, so that reach depends on the caller.
+    /// True if the service has selectors, so that the reachable upstreams
+    /// depend on the caller.
     bool has_selectors(service_id const& id) const
     {
         return this->selectors.contains(id);
     }
 
-    /// Entry hosts that may take callers, nearest first: those of the zone,
-    /// of its region, then the others by latency; within each by weight.
+    /// Entry hosts that accept callers, nearest first: those of the zone, of
+    /// its region, then the others by latency; within each group by descending
+    /// weight.
     std::vector<config::entry_host const*>
     entry_hosts_for(zone_id const& zone) const;
 
-    /// The configuration behind it.
+    /// The indexed configuration.
     config::configuration const& configuration() const
     {
         return *this->content;
@@ -106,7 +109,7 @@
         upstream_list;
     std::unordered_map<zone_id, region_id> zone_regions;
     duration default_latency = duration::max();
-    // Each host's routes with the longest prefix first.
+    // Routes of each host, longest prefix first.
     std::unordered_map<std::string, std::vector<config::request_route const*>>
         routes;
     std::unordered_map<upstream_id, discovery::listed_upstream const*>
--- a/bilberrylead/entry/service_state.cpp
+++ b/bilberrylead/entry/service_state.cpp
@@ -16,16 +16,17 @@
 
 constexpr duration initial_brief_time = std::chrono::milliseconds(20);
 constexpr duration initial_extended_time = std::chrono::seconds(2);
-/// Runs before the first one was seen.
+/// Assumed run time before the first run was measured.
 constexpr duration initial_run_time = std::chrono::milliseconds(100);
-/// Share of requests whose answer begins within the reserve. With the mean
-/// every second request that is let in at the limit would be late.
+/// Quantile of the time to the answer that is reserved before a deadline. With
+/// the mean, every second request admitted at the limit would be late.
 constexpr double reserve_quantile = 0.99;
-/// Weight of one 10 ms check in the mean of slots held: about a second.
+/// Weight of one 10 ms tick in the mean of held slots: a time constant of about
+/// one second.
 constexpr double average_weight = 0.01;
 
-/// All of a service's upstreams are its own, so its long work is beside no
-/// brief work: it queues like brief work that is in less of a hurry.
+/// The upstreams of a service are its own, so its extended work never competes
+/// with brief work: it is queued like brief work with longer permitted waits.
 policy::admission_queue_settings settings_for(config::work_length length)
 {
     policy::admission_queue_settings settings;
@@ -74,7 +75,7 @@
         upstream_record& record =
             this->records.try_emplace(each.upstream->id, each.upstream->slots)
                 .first->second;
-        // Records stay where they are until they are erased above.
+        // Records keep their addresses until they are erased above.
         this->upstream_records.push_back(&record);
         record.cold_until = std::max(record.cold_until, each.cold_until);
         record.region = each.region;
@@ -181,8 +182,8 @@
 
 std::optional<std::uint64_t> service_state::next(instant now)
 {
-    // One queue after the other, so that callers with a small reach are not
-    // behind all the others.
+    // Visits the queues in turn, so that callers that reach few upstreams are
+    // not always served after all others.
     for (std::size_t step = 0; step < this->queues.size(); ++step)
     {
         this->last_queue = (this->last_queue + 1) % this->queues.size();
@@ -248,8 +249,8 @@
         view.distance = this->configured_upstreams[index].distance;
         view.condition = record.health.condition();
         view.leaving = !this->is_open(index, now);
-        // What is beyond the slots would wait behind one, where it can be
-        // neither moved nor refused in time.
+        // A request beyond the slots would wait at the upstream, where it could
+        // be neither moved nor refused in time.
         view.allowed = this->is_reachable(reachable, index) &&
                        record.limit.has_token(now) &&
                        record.in_flight < view.usable_slots &&
@@ -275,8 +276,8 @@
         this->choose_excluding(reachable, tried, now);
     if (!found.has_value() && !tried.empty())
     {
-        // Once all were tried, one of them may have room by now, or take a
-        // new connection where the old one was dead.
+        // All upstreams were tried. One of them may have free capacity by now,
+        // or accept a new connection where the previous one was dead.
         found = this->choose_excluding(reachable, {}, now);
     }
     return found.has_value() ? this->configured_upstreams[*found].upstream
--- a/bilberrylead/entry/service_state.hpp
+++ b/bilberrylead/entry/service_state.hpp
@@ -37,211 +37,218 @@
 namespace bilberrylead::entry
 {
 
-/// Which of a service's upstreams a caller reaches, in the order of the
-/// configuration. Callers with equal reach share a queue.
+/// Which upstreams of a service a caller can reach, in the order of
+/// `service_state::upstreams`; empty if it reaches all. Callers with equal
+/// reach share a queue.
 using reach = std::vector<bool>;
 
-/// An upstream of the service and how far it is.
+/// An upstream of the service and its latency.
 struct configured_upstream
 {
-    /// As configured; its slots are at least 1.
+    /// The configured upstream; it has at least one slot.
     config::upstream const* upstream = nullptr;
-    /// One-way latency to it.
+    /// One-way latency to the upstream.
     duration distance{};
-    /// Number of its region, for placements.
+    /// Number of the upstream's region, for placement.
     std::uint32_t region = 0;
-    /// True if its zone is closed: no new work.
+    /// True if the zone is closed: no new requests.
     bool closed = false;
-    /// It is cold until then, by the list of upstreams.
+    /// Time until which the upstream is cold, from the upstream list.
     instant cold_until{};
 };
 
-/// The decisions under load of one service at this entry host: who waits,
-/// who is turned away, which upstream runs what. The rules themselves are
-/// in bilberrylead/policy; this keeps what they look at.
+/// Load state of one service at this entry host: decides which requests wait or
+/// are refused and which upstream runs a request. The policies are in
+/// bilberrylead/policy; this class holds the data that they use.
 class service_state
 {
 public:
-    /// Makes the state of a service without upstreams.
+    /// Creates the state of a service without upstreams.
     service_state(config::work_length length, std::uint64_t seed,
                   policy::placement_settings const& placing = {});
 
-    /// It points into itself.
+    /// Not copyable: it contains pointers to its own members.
     service_state(service_state const&) = delete;
     service_state& operator=(service_state const&) = delete;
 
-    /// Takes over the upstreams of a new configuration. What is known of
-    /// them by name stays; every queue must be empty (see take_waiting).
+    /// Replaces the upstreams by those of a new configuration. Records of
+    /// upstreams are kept by id; every queue must be empty (see
+    /// `remove_waiting`).
     void configure(std::vector<configured_upstream> upstreams);
 
-    /// Takes every waiting request out, for a new configuration.
+    /// Removes every waiting request, for a new configuration. Returns the
+    /// tickets in ascending order.
     std::vector<std::uint64_t> remove_waiting(instant now);
 
-    /// Decides what becomes of a request that needs a slot now.
+    /// Admits, queues or refuses a request that needs a slot now.
     policy::admission_verdict offer(policy::waiting_request const& request,
                                     reach const& reachable, instant now);
 
-    /// Time until such a request would get a slot.
+    /// Expected time until a request of the flow would get a slot.
     duration expected_wait(std::uint32_t flow, reach const& reachable,
                            instant now);
 
-    /// The waiting request that may start now, of one queue after the
-    /// other; nothing if none may.
+    /// Ticket of the next waiting request that may start now, visiting the
+    /// queues in turn; empty if none may.
     std::optional<std::uint64_t> next(instant now);
 
-    /// A request that waits and can't make its deadline any more.
+    /// Ticket of a waiting request that can no longer meet its deadline; empty
+    /// if there is none.
     std::optional<std::uint64_t> next_expired(instant now);
 
-    /// Takes a request out of its queue.
+    /// Removes a request from its queue.
     void cancel(std::uint64_t ticket, reach const& reachable);
 
-    /// Picks an upstream with a free slot, one that is not among `tried` if
-    /// there is any; null if there is none.
+    /// Selects an upstream with a free slot, preferably one that is not in
+    /// `tried`; null if there is none.
     config::upstream const* choose(reach const& reachable,
                                    std::vector<upstream_id> const& tried,
                                    instant now);
 
-    /// True if any upstream within reach takes work at all.
+    /// True if any reachable upstream accepts requests.
     bool accepts_work(reach const& reachable, instant now) const;
 
-    /// True if anything is known of the upstream.
+    /// True if there is a record of the upstream.
     bool has_record(upstream_id const& id) const
     {
         return this->records.contains(id);
     }
 
-    /// Decides where a request goes that waits at an upstream if it has to.
+    /// Selects the upstream for a request, if requests wait at upstreams.
     policy::placement_verdict place(policy::placement_question const& question,
                                     reach const& reachable,
                                     std::vector<upstream_id> const& tried,
                                     instant now);
 
-    /// The upstream at an index that `place` gave.
+    /// Upstream at an index that `place` returned.
     config::upstream const& upstream_at(std::size_t index) const
     {
         return *this->configured_upstreams[index].upstream;
     }
 
-    /// Time there and back to the upstream at that index.
+    /// Round-trip time to the upstream at that index.
     duration round_trip_to(std::size_t index) const
     {
         return 2 * this->configured_upstreams[index].distance;
     }
 
-    /// What this host may send to a cold upstream, and further tries it may
-    /// save up: its share of what all hosts may.
+    /// Sets this host's share of the bounds on requests to cold upstreams, and
+    /// the number of retries that it may save up.
     void set_host_shares(policy::cold_share const& cold_share,
                          double saved_retries);
 
-    /// The upstream's load, as it told beside an answer.
+    /// Records the load that an upstream reported with an answer.
     void record_load(upstream_id const& id, upstream_load const& load,
                      instant now);
 
-    /// The limit that the upstream named in an answer; nothing if it named
-    /// none. True if it is another one than before.
+    /// Records the rate limit that the upstream set in an answer; empty if it
+    /// set none. Returns true if the limit changed.
     bool record_limit(upstream_id const& id, std::optional<double> limit,
                       instant now);
 
-    /// What another entry host tells of an upstream's limit. True if the
-    /// limit is another one by it.
+    /// Records the report of another entry host about an upstream's limit.
+    /// Returns true if this changed the limit.
     bool receive_limit(host_id const& sender,
                        policy::limit_report const& report, instant now);
 
-    /// What has to be told of limits since the last call.
+    /// Removes and returns the limit reports that have accumulated since the
+    /// last call.
     std::vector<policy::limit_report> pop_limit_reports(instant now);
 
-    /// Time until one of the upstreams within reach that are at their limits
-    /// may get a request; nothing if there is none.
+    /// Shortest time until a reachable upstream that is at its limit may
+    /// receive a request; empty if no such upstream exists.
     std::optional<duration> time_to_next_token(reach const& reachable,
                                                instant now) const;
 
-    /// The upstream worked on a request of this host's: so long as it would
-    /// take where the object is known, 0 for none.
+    /// Records a run of a request by the upstream: the time that it would take
+    /// if the object were known there, and the object, 0 for none.
     void record_run(upstream_id const& id, duration time, std::uint64_t object,
                     instant now);
 
-    /// The upstreams of the zone are cold until then.
+    /// Marks the upstreams of the zone as cold until the given time.
     void record_cold_zone(zone_id const& zone, instant until);
 
-    /// The upstreams, in the order of every reach.
+    /// Upstreams, in the order of every `reach`.
     std::vector<configured_upstream> const& upstreams() const
     {
         return this->configured_upstreams;
     }
 
-    /// A request for the service arrived.
+    /// Records the arrival of a request for the service.
     void record_arrival(instant now)
     {
         this->arrivals.add(now);
     }
 
-    /// Slots that its requests would hold if all of them were served.
+    /// Slots that all requests of the service would hold if all were served.
     double demand(instant now) const;
 
-    /// Where requests run, by number of region.
+    /// Shares of the requests by number of region.
     policy::region_shares& region_shares()
     {
         return this->shares;
     }
 
-    /// Time that requests usually run, for callers that come back.
+    /// Usual run time, for the retry delay of callers.
     duration usual_run() const
     {
         return this->usual_load.run();
     }
 
-    /// Work was started there.
+    /// Acquires a slot of the upstream for a request that is being sent.
     void acquire_slot(upstream_id const& id, instant now);
 
-    /// Work has ended there, in whatever way.
+    /// Releases a slot after the request ended in any way.
     void release_slot(upstream_id const& id);
 
-    /// The answer's head came this long after the request was sent.
+    /// Records the time from the sending of a request to the head of its
+    /// answer.
     void record_answer(upstream_id const& id, duration took, instant now);
 
-    /// A slot was held this long for a whole answer.
+    /// Records how long a slot was held for a complete answer.
     void record_slot_time(upstream_id const& id, duration time);
 
-    /// The upstream failed the request.
+    /// Records a failure of the upstream.
     void record_failure(upstream_id const& id, instant now);
 
-    /// The upstream turned the request away: all of its slots are taken.
+    /// Records that the upstream refused a request: all of its slots are in
+    /// use.
     void record_refusal(upstream_id const& id, instant now);
 
-    /// The upstream's own report.
+    /// Records the number of slots in use that the upstream reported.
     void record_load_report(upstream_id const& id, std::uint32_t slots_in_use,
                             instant now);
 
-    /// The upstream gets no new work until then.
+    /// Excludes the upstream from new requests until the given time.
     void record_leaving(upstream_id const& id, instant until);
 
-    /// Time went by.
+    /// Updates averages and upstream health; called at every tick.
     void advance(instant now);
 
-    /// Time that nearly every request takes from slot to answer.
+    /// Time from slot to answer that nearly all requests stay within.
     duration usual_answer() const;
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     std::size_t waiting() const;
 
-    /// Slots held.
+    /// Number of held slots.
     std::size_t in_use() const
     {
         return this->slots_held;
     }
 
-    /// What pays for further tries.
+    /// Budget for attempts beyond the first.
     policy::retry_budget budget;
-    /// Random numbers of this service's decisions.
+    /// Random numbers for the decisions of this service.
     policy::generator random;
 
 private:
-    /// Demands follow what callers do within a second or two; single gaps
-    /// between requests do not show.
+    /// Time constant of the demand estimate. Demand follows changes within one
+    /// to two seconds; single gaps between requests do not show.
     static constexpr std::chrono::duration<double> demand_window{1.5};
-    /// Share of the requests that may move to other regions in a second. Two
-    /// seconds of it, and what chance adds, stay below the usual bound of 15
-    /// in 100.
+    /// Largest share of the requests that may move to other regions per second.
+    /// Two seconds of it, plus random variation, stay below the usual bound of
+    /// 15 %.
     static constexpr double max_region_shift_per_s = 0.045;
 
     upstream_record& record_of(upstream_id const& id);
@@ -262,26 +269,28 @@
 
     config::work_length work_length;
     std::vector<configured_upstream> configured_upstreams;
-    // What is known of each of them, in the same order; each request looks
-    // at all of them.
+    // Records of the upstreams, in the same order; used for each request, so
+    // that no look-up is needed.
     std::vector<upstream_record*> upstream_records;
     std::vector<policy::placement_candidate> candidates;
     policy::upstream_placement placement;
-    // Over all upstreams, and over those of one region by its number, which
-    // starts from what was usual when the region was first looked at.
+    // Usual load over all upstreams, and over those of one region by its
+    // number. A region starts with the overall value at the time of its first
+    // use.
     policy::usual_load usual_load;
     std::map<std::uint32_t, policy::usual_load> usual_by_region;
     policy::cold_share cold;
     policy::arrival_rate arrivals{demand_window};
     policy::region_shares shares{max_region_shift_per_s};
     std::unordered_map<upstream_id, upstream_record> records;
-    // Upstreams whose limits or counts the other entry hosts don't know yet.
+    // Upstreams whose limits or request counts have not been sent to the other
+    // entry hosts yet.
     std::set<upstream_id> unsent_limits;
     std::map<reach, policy::admission_queue> queues;
     policy::completion_choice choice;
     policy::service_time_estimate slot_time;
     policy::service_time_estimate answer_time;
-    // Kept between calls, so that a choice allocates nothing.
+    // Reused between calls to avoid allocations.
     policy::upstream_set views;
     std::size_t slots_held = 0;
     double average_slots_held = 0;
--- a/bilberrylead/entry/service_state_limits.cpp
+++ b/bilberrylead/entry/service_state_limits.cpp
@@ -4,14 +4,14 @@
 #include <chrono>
 #include <utility>
 
-/// Limits that upstreams name for all entry hosts together.
+/// Rate limits that upstreams set for all entry hosts together.
 namespace bilberrylead::entry
 {
 
 namespace
 {
 
-/// How often the other entry hosts hear that a limit goes on.
+/// Interval at which an unchanged limit is confirmed to the other entry hosts.
 constexpr duration limit_report_interval = std::chrono::seconds(2);
 
 } // namespace
--- a/bilberrylead/entry/service_state_placement.cpp
+++ b/bilberrylead/entry/service_state_placement.cpp
@@ -3,18 +3,19 @@
 #include <algorithm>
 #include <chrono>
 
-/// Placing requests that wait at upstreams.
+/// Placement of requests that wait at upstreams.
 namespace bilberrylead::entry
 {
 
 namespace
 {
 
-/// Handicap of an upstream that failed a moment ago, in runs: after every
-/// sound one, before a refusal.
+/// Penalty of an upstream that failed recently, in run times: it is used after
+/// every healthy one, but before a request is refused.
 constexpr double suspect_penalty_runs = 3;
-/// A cold upstream is that much slower, and every request it gets makes its
-/// callers wait; sound ones go first.
+/// Penalty of a cold upstream, in run times: it is slower by about that much,
+/// and each of its requests delays its callers, so warm upstreams are
+/// preferred.
 constexpr double cold_penalty_runs = 1;
 
 } // namespace
@@ -45,7 +46,7 @@
     {
         return false;
     }
-    // Each cold upstream has other hosts that send to it.
+    // Each cold upstream is served by a different subset of the hosts.
     return this->cold.part_of_hosts >= 1 ||
            policy::generator(this->cold.host ^ upstream).unit() <
                this->cold.part_of_hosts;
@@ -79,8 +80,8 @@
 void service_state::record_run(upstream_id const& id, duration time,
                                std::uint64_t object, instant now)
 {
-    // The mean follows what upstreams of usual speed do; one that is slow
-    // must not make its slowness the usual.
+    // The mean must follow upstreams of usual speed; a slow upstream must not
+    // raise the usual run time.
     upstream_record& record = this->record_of(id);
     policy::usual_load& siblings = this->usual_load_in(record.region);
     record.estimate.ran(time, siblings.run(), now);
--- a/bilberrylead/entry/split_draw.hpp
+++ b/bilberrylead/entry/split_draw.hpp
@@ -6,15 +6,15 @@
 namespace bilberrylead::entry
 {
 
-/// How a request on a route with several targets was given to one of them.
+/// Draw that assigned a request to one target of a route with several.
 struct split_draw
 {
-    /// The number drawn, 0 to `sum - 1`; targets take their weights' ranges
-    /// in the order of the route.
+    /// Random number from 0 to `sum - 1`; the targets cover consecutive ranges
+    /// of the size of their weights, in the order of the route.
     std::uint32_t drawn = 0;
-    /// Sum of the route's weights.
+    /// Sum of the weights of the route.
     std::uint32_t sum = 0;
-    /// Draws of this process before this one.
+    /// Number of earlier draws of this process.
     std::uint64_t earlier = 0;
 };
 
--- a/bilberrylead/entry/upstream_load.hpp
+++ b/bilberrylead/entry/upstream_load.hpp
@@ -6,12 +6,12 @@
 namespace bilberrylead::entry
 {
 
-/// What an upstream says of itself beside an answer.
+/// Load that an upstream reports with an answer.
 struct upstream_load
 {
-    /// Requests that it works on, of all entry hosts.
+    /// Requests that it is running, from all entry hosts.
     std::uint32_t running = 0;
-    /// Requests that wait there.
+    /// Requests that wait at the upstream.
     std::uint32_t waiting = 0;
 };
 
--- a/bilberrylead/entry/upstream_record.hpp
+++ b/bilberrylead/entry/upstream_record.hpp
@@ -14,45 +14,47 @@
 namespace bilberrylead::entry
 {
 
-/// What this entry host knows of one upstream besides the configuration.
-/// Outlives configurations.
+/// State that this entry host keeps for an upstream in addition to its
+/// configuration. Outlives configurations.
 struct upstream_record
 {
-    /// Makes the record of an upstream with that many slots, not used yet.
+    /// Creates the record of an unused upstream with that many slots.
     explicit upstream_record(std::uint32_t slots) : health(slots)
     {
     }
 
-    /// Number of its region, by the last configuration that had it.
+    /// Number of its region, from the last configuration that contained it.
     std::uint32_t region = 0;
-    /// Hash of its id: objects are spread by it.
+    /// Hash of its id, by which objects are distributed.
     std::uint64_t hash = 0;
-    /// Requests of this entry host that hold a slot there.
+    /// Requests of this entry host that hold a slot of the upstream.
     std::uint32_t in_flight = 0;
-    /// Slots that others use, by its last report or refusal.
+    /// Slots used by other hosts, from its last report or refusal.
     std::uint32_t in_use_by_others = 0;
-    /// When that was; meaningless while `is_reported` is false.
+    /// Time of that report; undefined while `is_reported` is false.
     instant reported_at{};
-    /// True once anything was reported.
+    /// True once the slots in use were reported.
     bool is_reported = false;
-    /// It gets no new work before this, whatever the configuration says.
+    /// The upstream receives no new requests before this time, regardless of
+    /// the configuration.
     instant leaving_until{};
-    /// Its health as its answers show it.
+    /// Health, derived from its answers.
     policy::upstream_health health;
-    /// How long requests held its slots of late.
+    /// How long recent requests held its slots.
     policy::service_time_estimate slot_time;
-    /// What others hold of it and how slow it is, where requests wait at
+    /// Slots held by others and relative slowness, used if requests wait at
     /// upstreams.
     policy::upstream_estimate estimate;
-    /// Objects that this host had it work on.
+    /// Objects that the upstream has handled for this host.
     policy::object_memory objects;
-    /// What this host may send it while it is cold.
+    /// Tokens for requests to the upstream while it is cold.
     policy::rate_limit cold_tokens;
-    /// What it takes from all entry hosts together.
+    /// Rate limit of the upstream over all entry hosts.
     policy::shared_limit limit;
-    /// Answer by which the limit was told to the other entry hosts last.
+    /// Time of the answer whose limit was last sent to the other entry hosts.
     instant sent_limit_seen_at{};
-    /// It is cold until then, by what it or its zone's return showed.
+    /// The upstream is cold until this time, as listed or because its zone was
+    /// reopened.
     instant cold_until{};
 };
 
--- a/tests/unit/entry/choices_over_hosts_test.cpp
+++ b/tests/unit/entry/choices_over_hosts_test.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t hosts = 80;
 constexpr std::uint64_t started_at = 1'770'000'000'000;
 
-/// Entry hosts in front of so many equal upstreams of one service.
+/// Entry hosts that share this many equal upstreams of one service.
 entry_fleet make_fleet(std::size_t upstreams, std::uint32_t slots)
 {
     auto listing = std::make_shared<listed_upstreams>();
@@ -33,8 +33,8 @@
 
 } // namespace
 
-// Guards against hosts that choose alike between equal upstreams: the first
-// request of each would go to the same one.
+// Guards against hosts that choose identically between equal upstreams: the
+// first request of every host would go to the same one.
 Test(choices_over_hosts, first_requests_spread_over_equal_upstreams)
 {
     constexpr std::size_t upstreams = 16;
@@ -51,8 +51,8 @@
     }
 }
 
-// Guards against hosts that tell callers which they refuse at the same moment
-// to come back at the same moment.
+// Guards against hosts that send the same retry time to all callers that they
+// refuse at the same moment.
 Test(choices_over_hosts, refused_callers_get_different_retry_times)
 {
     entry_fleet fleet = make_fleet(1, 1);
--- a/tests/unit/entry/crashing_request_test.cpp
+++ b/tests/unit/entry/crashing_request_test.cpp
@@ -11,20 +11,19 @@
 namespace
 {
 
-/// By then all entry hosts have to know what crashes upstreams.
+/// Time within which all entry hosts must have received a crash record.
 constexpr duration propagation_time = 4s;
-/// Runs that are allowed later than that after the third crash.
+/// Runs that are permitted after the third crash plus `propagation_time`.
 constexpr std::size_t max_late_runs = 3;
 
-/// Digest of a request that comes once and crashes nothing.
+/// Digest of a request that arrives once and crashes no upstream.
 std::uint64_t harmless_digest(std::uint64_t number)
 {
     return (number << 32U) | 1U;
 }
 
-/// Repeats of a request that crashes its upstreams come to one entry host
-/// after the other, each so much later than the one before; beside them
-/// every host gets requests of its own.
+/// Sends repeats of the crashing request to one entry host after the other, at
+/// intervals of `pause`, concurrently with other requests to several hosts.
 void repeat_crashing_request(upstream_fleet& fleet, duration pause,
                              duration time)
 {
@@ -60,31 +59,32 @@
 
 } // namespace
 
-// Guards against a request that ends one upstream after the other, since no
-// entry host knows what it did at the others.
+// Guards against a request that ends one upstream after the other because no
+// entry host knows of the crashes seen by the others.
 Test(crashing_request, repeats_at_all_hosts_stop_after_the_third_crash)
 {
     for (std::size_t const hosts : fleet_sizes)
     {
         upstream_fleet fleet({.hosts = hosts});
         repeat_crashing_request(fleet, 200ms, 20s);
-        expect_budget_kept(fleet, "prompt news");
+        expect_budget_kept(fleet, "prompt records");
     }
 }
 
-// Guards against repeats that run until slow news have come: late, but not
-// later than hosts in contact may be.
+// Guards against repeats that run until delayed records arrive: they may run
+// late, but not later than the propagation time permits.
 Test(crashing_request, repeats_stop_when_records_arrive_3_s_late)
 {
     for (std::size_t const hosts : fleet_sizes)
     {
         upstream_fleet fleet({.hosts = hosts, .peer_delay = 3s});
         repeat_crashing_request(fleet, 200ms, 20s);
-        expect_budget_kept(fleet, "late news");
+        expect_budget_kept(fleet, "late records");
     }
 }
 
-// Guards against repeats that go on in waves once upstreams are back.
+// Guards against repeats that end upstreams again in waves once those have
+// restarted.
 Test(crashing_request, repeats_with_prompt_records_end_few_upstreams)
 {
     constexpr std::size_t max_ended = 6;
@@ -97,15 +97,14 @@
     }
 }
 
-// Guards against entry hosts that start without knowing what crashes
-// upstreams.
+// Guards against entry hosts that start without the crash records.
 Test(crashing_request, restarted_hosts_receive_crash_records)
 {
     for (std::size_t const hosts : fleet_sizes)
     {
         upstream_fleet fleet({.hosts = hosts});
         repeat_crashing_request(fleet, 200ms, 8s);
-        // The first one goes on, the others restart together.
+        // The first host keeps running, the others restart together.
         for (std::size_t host = 1; host < hosts; ++host)
         {
             fleet.start_host(host);
@@ -115,8 +114,8 @@
     }
 }
 
-// Guards against a host that was cut off, and learns nothing of what the
-// others found meanwhile.
+// Guards against a host that was partitioned and does not receive the records
+// of the others afterwards.
 Test(crashing_request, reconnected_host_receives_crash_records)
 {
     upstream_fleet fleet({.hosts = 10});
@@ -129,8 +128,8 @@
     cr_expect_eq(fleet.ended_upstreams(), before);
 }
 
-// Guards against innocent requests that are refused since a whole zone ended
-// under them.
+// Guards against refusing harmless requests because a whole zone ended while it
+// ran them.
 Test(crashing_request, harmless_requests_of_an_ended_zone_are_not_refused)
 {
     constexpr std::uint64_t requests = 40;
@@ -161,8 +160,8 @@
     }
 }
 
-// Guards against a popular request that is refused since upstreams end while
-// it runs, as something runs nearly always.
+// Guards against refusing a popular request because upstreams end while they
+// run it: it is nearly always running somewhere.
 Test(crashing_request, popular_request_during_many_crashes_is_not_refused)
 {
     constexpr std::uint64_t popular_digest = 3;
@@ -181,7 +180,7 @@
     cr_expect_eq(fleet.refused_for_crashes(popular_digest), 0U);
 }
 
-// Guards against reset connections that are taken for crashes.
+// Guards against connection resets that are counted as crashes.
 Test(crashing_request, request_whose_connections_are_reset_is_not_refused)
 {
     constexpr std::uint64_t reset_digest = 3;
--- a/tests/unit/entry/entry_fixture.hpp
+++ b/tests/unit/entry/entry_fixture.hpp
@@ -19,9 +19,9 @@
 
 using namespace std::chrono_literals;
 
-/// A configuration with the service "lookup" (idempotent), "grant" (guarded)
-/// and "post" (not idempotent, not guarded), each on upstreams a and b with
-/// one slot, in zone z1.
+/// Configuration with the services "lookup" (idempotent), "grant" (guarded) and
+/// "post" (neither idempotent nor guarded), each on upstreams a and b with one
+/// slot, in zone z1.
 inline std::shared_ptr<config::configuration> make_configuration()
 {
     std::shared_ptr<config::configuration> made =
@@ -53,7 +53,7 @@
     return made;
 }
 
-/// The first effect of that kind; null if there is none.
+/// First effect of that type; null if there is none.
 template <class Effect>
 Effect const* find_effect(effects const& decided)
 {
@@ -67,10 +67,10 @@
     return nullptr;
 }
 
-/// Of the one process that most tests look at.
+/// Seed of the single process that most tests use.
 inline process_seed const test_seed(host_id("e1"), 1);
 
-/// Drives one entry_reducer and looks into what it said.
+/// Drives one entry_reducer and inspects its effects.
 struct driven_entry
 {
     driven_entry()
@@ -112,7 +112,7 @@
         return this->reduce(tick{});
     }
 
-    /// Lets the pause before another try pass.
+    /// Advances beyond the pause before a retry.
     effects const& advance_past_pause()
     {
         return this->advance(100ms);
@@ -125,8 +125,8 @@
                                             exchange_fault::connection_lost});
     }
 
-    /// How many effects the last event had on requests and hosts: all but
-    /// the record of a request's end, which only the log takes.
+    /// Number of effects of the last event on requests and hosts: all but
+    /// `request_ended`, which is only logged.
     std::size_t action_count() const
     {
         return static_cast<std::size_t>(std::count_if(
@@ -152,7 +152,7 @@
     instant now = instant{} + 1h;
     entry_reducer reducer{make_settings(), test_seed};
     effects last_effects;
-    /// What the next arrivals say of earlier sendings.
+    /// Value of `request_arrived::repeated` in the next arrivals.
     bool repeated = false;
 };
 
--- a/tests/unit/entry/entry_fleet.hpp
+++ b/tests/unit/entry/entry_fleet.hpp
@@ -15,7 +15,7 @@
 
 using listed_upstreams = std::vector<discovery::listed_upstream>;
 
-/// An upstream in zone z1, region r1.
+/// Listed upstream in zone z1, region r1.
 inline discovery::listed_upstream make_listed(std::string const& service,
                                               std::string const& id,
                                               std::uint32_t slots)
@@ -29,7 +29,7 @@
     return listed;
 }
 
-/// One route for every path of a.example.
+/// Configuration with one route for every path of a.example.
 inline std::shared_ptr<config::configuration>
 make_one_route(std::vector<config::route_target> targets)
 {
@@ -60,8 +60,8 @@
     return arrival;
 }
 
-/// Entry hosts with the same configuration and listing, each a process of
-/// its own that knows nothing of the others.
+/// Entry hosts with the same configuration and upstream list, each a separate
+/// process without contact to the others.
 class entry_fleet
 {
 public:
@@ -75,7 +75,7 @@
         this->start_all(incarnation);
     }
 
-    /// Starts every process anew.
+    /// Restarts every process.
     void start_all(std::uint64_t incarnation)
     {
         for (std::size_t host = 0; host < this->processes.size(); ++host)
@@ -101,21 +101,21 @@
         return this->processes.size();
     }
 
-    /// Gives an event to one of them.
+    /// Passes an event to a host.
     effects reduce(std::size_t host, event const& event)
     {
         return this->processes[host]->reduce(event, this->now);
     }
 
-    /// A request comes to one of them.
+    /// Passes a new request to a host.
     effects arrive(std::size_t host)
     {
         ++this->last_request;
         return this->reduce(host, make_arrival(this->last_request));
     }
 
-    /// The upstream of a request that comes to one of them, which answers it
-    /// at once; empty if it was not sent.
+    /// Passes a new request to a host, completes it at once, and returns the
+    /// upstream it was sent to; empty if it was not sent.
     std::string sent_to(std::size_t host)
     {
         effects const decided = this->arrive(host);
--- a/tests/unit/entry/entry_load_test.cpp
+++ b/tests/unit/entry/entry_load_test.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-/// An entry host whose lookups take 20 ms each on two slots, stepped
-/// through time.
+/// Entry host whose lookups take 20 ms each on two slots, advanced in steps of
+/// 10 ms.
 struct loaded_entry : driven_entry
 {
     void send(std::string const& caller)
@@ -88,9 +88,9 @@
 
 Test(entry_load, burst_is_served_in_part_and_the_rest_is_refused_at_once)
 {
-    // 200 lookups arrive at once for two slots of 20 ms. Those that would
-    // wait longer than half a second are refused in the same moment, with a
-    // time to come back; none of the others misses its deadline.
+    // 200 lookups arrive at once for two slots of 20 ms. Those that would wait
+    // longer than half a second are refused at once, with a retry time; none of
+    // the others misses its deadline.
     loaded_entry entry;
     for (int each = 0; each < 200; ++each)
     {
@@ -117,8 +117,9 @@
 
 Test(entry_load, heavy_caller_does_not_take_the_others_turn)
 {
-    // One bureau sends 20 lookups with each that nine others send. The slots
-    // can't carry that; each of the nine still gets nearly all of its own.
+    // One caller, "bureau", sends 20 lookups for each that nine others send.
+    // The slots cannot serve them all; each of the nine must still get nearly
+    // all of its lookups served.
     loaded_entry entry;
     int sent_by_each = 0;
     for (int round = 0; round < 100; ++round)
@@ -153,8 +154,8 @@
 
 Test(entry_load, failing_upstreams_do_not_multiply_the_load)
 {
-    // Every try of every lookup fails. Without a budget each would be sent
-    // three times; with it, retries stay near a tenth of the requests.
+    // Every attempt of every lookup fails. Without a budget each lookup would
+    // be sent three times; with it, retries stay near a tenth of the requests.
     driven_entry entry;
     int sent = 0;
     constexpr int requests = 200;
--- a/tests/unit/entry/entry_reducer_test.cpp
+++ b/tests/unit/entry/entry_reducer_test.cpp
@@ -39,8 +39,8 @@
 
 Test(entry_reducer, configuration_with_older_or_equal_revision_is_ignored)
 {
-    // A neighbour that lags sends the revision before the operator's last
-    // change. Callers must go on seeing the last one.
+    // A lagging peer sends the revision before the operator's last change. The
+    // last change must stay in force.
     driven_entry entry;
     std::shared_ptr<config::configuration> const newer = make_configuration();
     newer->services.pop_back();
@@ -89,9 +89,9 @@
 
 Test(entry_reducer, post_whose_connection_breaks_is_never_sent_again)
 {
-    // The caller posts a royalty; the connection breaks after the bytes
-    // left. It may have been booked, so a second try could book it twice:
-    // the caller hears "unknown" at once.
+    // A caller posts a royalty, and the connection breaks after the bytes were
+    // sent. It may have been booked, so a retry could book it twice: the caller
+    // must receive "unknown" at once.
     driven_entry entry;
     entry.arrive(1, "post");
     entry.fail(1, exchange_phase::maybe_sent);
@@ -164,8 +164,8 @@
 
 Test(entry_reducer, leaving_upstream_gets_no_new_work)
 {
-    // Upstream a says in an answer that it leaves, before any operator's
-    // label arrives. The next callers must all go to b.
+    // Upstream a announces in an answer that it is leaving, before the
+    // configuration marks it. All later requests must go to b.
     driven_entry entry;
     entry.arrive(1, "lookup");
     upstream_id const leaving = entry.find<start_upstream>()->upstream;
@@ -184,8 +184,8 @@
 
 Test(entry_reducer, upstream_labelled_as_leaving_gets_no_new_work)
 {
-    // An operator drains lookup-a. From the revision on that says so, every
-    // caller goes to lookup-b, also once both are free.
+    // An operator drains lookup-a. From the revision that marks it, every
+    // request must go to lookup-b, even when both are free.
     driven_entry entry;
     std::shared_ptr<config::configuration> const drained = make_configuration();
     upstream_id const leaving("lookup-a");
--- a/tests/unit/entry/guarded_request_test.cpp
+++ b/tests/unit/entry/guarded_request_test.cpp
@@ -12,7 +12,7 @@
 
 request_number const one = static_cast<request_number>(1);
 
-/// A grant with key k that has been claimed and sent.
+/// A grant with key k whose claim was granted and that was sent.
 struct sent_grant : driven_entry
 {
     sent_grant()
@@ -63,7 +63,7 @@
         entry.arrive(1, "grant", "k");
         entry.reduce(claim_answered{one, each.verdict});
         cr_assert_eq(entry.action_count(), 1);
-        cr_assert_eq(entry.last_effects.size(), 2, "and the record of its end");
+        cr_assert_eq(entry.last_effects.size(), 2, "plus request_ended");
         cr_assert_not(entry.has_effect<start_upstream>());
         cr_assert_eq(entry.reducer.requests_in_progress(), 0);
         if (each.problem != 0)
@@ -86,8 +86,8 @@
 
 Test(guarded_request, answer_reaches_its_caller_though_no_quorum_records_it)
 {
-    // The control link breaks while the grant runs. It did run, so its
-    // caller gets the answer after a short wait; a repeat meanwhile hears
+    // The control link breaks while the grant runs. It has run, so its caller
+    // receives the answer after a short wait; a repeat in the meantime receives
     // "in progress" and never runs.
     sent_grant entry;
     entry.reduce(control_unreachable{});
@@ -107,8 +107,8 @@
 
 Test(guarded_request, claim_granted_after_the_deadline_is_released)
 {
-    // The caller was told "not run" while its claim was on the way. Were
-    // the late grant kept, every repeat would hear "in progress" for ever.
+    // The caller received "not run" while its claim was in flight. If the late
+    // grant were kept, every repeat would receive "in progress" forever.
     driven_entry entry;
     entry.arrive(1, "grant", "k");
     entry.advance(2s);
@@ -144,8 +144,8 @@
 
 Test(guarded_request, grant_whose_caller_left_goes_on_and_is_recorded)
 {
-    // The caller's connection breaks while its grant runs, and it will ask
-    // again with the same key. Cancelling would make the outcome unknown.
+    // The caller's connection breaks while its grant runs, and it will retry
+    // with the same key. Cancelling would make the outcome unknown.
     sent_grant entry;
     entry.reduce(caller_gone{one});
     cr_assert_not(entry.has_effect<cancel_upstream>());
@@ -166,10 +166,11 @@
     cr_assert_not(entry.has_effect<answer_collected>());
 }
 
-// A caller's first sending died with its entry host after it was forwarded.
-// It sends the grant again through this host, which cannot ask the records.
-// "Not run" would be taken for both sendings, and the grant done anew under
-// another key: a second run. So the caller hears "unknown" and when to ask.
+// The entry host of a caller's first attempt failed after it had forwarded the
+// grant. The caller repeats it through this host, which cannot query the
+// records. The caller would take "not run" as the answer to both attempts and
+// send the grant under another key, which would run it twice. It must receive
+// "unknown" with a retry time instead.
 Test(guarded_request, repeat_whose_claim_is_refused_is_not_called_not_run)
 {
     driven_entry entry;
@@ -181,8 +182,8 @@
     cr_assert(entry.find<answer_unknown>()->retry_after > duration::zero());
 }
 
-// A granted claim proves that no earlier sending ran. If no upstream can
-// take the grant then, "not run" is true of all sendings.
+// A granted claim proves that no earlier attempt ran. If no upstream can run
+// the grant then, "not run" holds for all attempts.
 Test(guarded_request, repeat_whose_claim_is_granted_may_be_called_not_run)
 {
     driven_entry entry;
--- a/tests/unit/entry/limited_upstream_test.cpp
+++ b/tests/unit/entry/limited_upstream_test.cpp
@@ -13,13 +13,13 @@
 namespace
 {
 
-/// The rule counts requests within this span, from so long after the limit
-/// was first named.
+/// The limit is checked over any span of this length, starting this long after
+/// the limit was first set.
 constexpr duration propagation_time = 4s;
 constexpr std::size_t fleet_sizes[] = {2, 10, 80, 300};
 constexpr double limits[] = {0.5, 1.7, 2.7, 10};
 
-/// What the rule allows within contact_time.
+/// Requests that are permitted within `propagation_time`.
 double allowed(double limit)
 {
     return 1.5 * limit * 4 + 5;
@@ -35,7 +35,7 @@
                   max_count);
 }
 
-/// Requests come to hosts drawn by lot, so many a second over all of them.
+/// Sends `per_second` requests per second in total to randomly selected hosts.
 void send_requests(upstream_fleet& fleet, double per_second, duration time)
 {
     policy::generator random(7);
@@ -53,8 +53,8 @@
 
 } // namespace
 
-// Guards against hosts that each keep an upstream's limit, or none of them,
-// while the sum over all hosts is over it.
+// Guards against hosts that enforce an upstream's limit each on its own, or not
+// at all, so that the sum over all hosts exceeds it.
 Test(limited_upstream, hosts_together_keep_the_limit)
 {
     for (std::size_t const hosts : fleet_sizes)
@@ -69,7 +69,7 @@
     }
 }
 
-// Guards against a limit that is kept by sending nothing.
+// Guards against a limit that is kept by sending too few requests.
 Test(limited_upstream, limit_is_used)
 {
     constexpr double min_use = 0.7;
@@ -90,8 +90,8 @@
     }
 }
 
-// Guards against tokens that all hosts save while few requests come, and
-// spend together.
+// Guards against tokens that all hosts save during a period of few requests and
+// then spend at once.
 Test(limited_upstream, burst_after_a_lull_keeps_the_limit)
 {
     for (std::size_t const hosts : fleet_sizes)
@@ -108,7 +108,7 @@
     }
 }
 
-// Guards against hosts that start without knowing a limit, all together.
+// Guards against hosts that restart together without knowing the limit.
 Test(limited_upstream, restarted_hosts_keep_the_limit)
 {
     for (std::size_t const hosts : fleet_sizes)
@@ -125,7 +125,7 @@
     }
 }
 
-// Guards against a limit that outlives the upstream's need.
+// Guards against a limit that stays in force after the upstream has lifted it.
 Test(limited_upstream, limit_ends_on_all_hosts_once_one_receives_its_end)
 {
     for (std::size_t const hosts : fleet_sizes)
@@ -146,7 +146,7 @@
     }
 }
 
-// Guards against a changed limit that is kept at its old value.
+// Guards against the old value of a limit that has changed.
 Test(limited_upstream, lower_limit_replaces_the_first_one)
 {
     upstream_fleet fleet({.hosts = 10, .upstreams = 3, .limit = 10});
@@ -161,7 +161,7 @@
                   max_count);
 }
 
-// Guards against callers that wait in vain where all upstreams are at their
+// Guards against callers that wait in vain while all upstreams are at their
 // limits.
 Test(limited_upstream, requests_are_refused_at_once_where_all_are_limited)
 {
--- a/tests/unit/entry/object_placement_test.cpp
+++ b/tests/unit/entry/object_placement_test.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// The upstream of an idle host for a request about the object.
+/// Upstream that an idle host selects for a request that names the object.
 std::string first_upstream(routed_entry& host, std::uint64_t number,
                            std::string const& path, std::uint64_t object)
 {
@@ -22,7 +22,7 @@
     return upstream;
 }
 
-/// Of 50 requests, those that a host sends to another region.
+/// Number of requests, out of 50, that a host sends to another region.
 int far_requests(entry_reducer& reducer, instant now)
 {
     int far = 0;
@@ -48,10 +48,10 @@
 
 } // namespace
 
-// Callers fetch recipes and book crews of one service, and number both from
-// 1. Upstreams that know recipe 7 do not know booking 7. Sent to the
-// upstream of the recipe every booking would take the time of an unknown
-// one, as soon as that upstream is busy with recipes.
+// Callers fetch recipes and book crews of one service, and number both from 1.
+// An upstream that has recipe 7 cached does not have booking 7. If bookings
+// were sent to the upstream of the recipe with the same number, each would take
+// the time of an unknown object as soon as that upstream is busy with recipes.
 Test(object_placement, same_name_on_two_routes_is_two_objects)
 {
     routed_entry host;
@@ -71,10 +71,10 @@
                  "of three upstreams two thirds differ by chance");
 }
 
-// Upstreams of another region were started anew, and callers are planned
-// there from everywhere. The hosts there share the bound among themselves; if
-// hosts of other regions sent as well, the cold upstream would get the bound
-// once more from each region, and crash.
+// Upstreams of another region were restarted, and the plan sends callers of all
+// regions there. The hosts of that region share the bound for cold upstreams;
+// if hosts of other regions sent requests as well, a cold upstream would
+// receive the bound once more from each region and crash.
 Test(object_placement, cold_upstream_of_another_region_gets_nothing)
 {
     routed_entry host;
@@ -92,7 +92,7 @@
     {
         host.arrive(number, "/r/x");
         cr_expect_neq(host.sent_to(), "read-far");
-        cr_expect_neq(host.sent_to(), "", "its own region has room");
+        cr_expect_neq(host.sent_to(), "", "its own region has free capacity");
         host.answer(number, 200);
         host.reduce(upstream_answer_finished{request_number{number}, {}});
     }
@@ -101,9 +101,8 @@
     cr_expect_eq(host.sent_to(), "read-far");
 }
 
-// A host starts with the plan before it has heard of any upstream of its own
-// region; its region has no number yet, and the rest of the shares, which is
-// its own, must find a place.
+// A host receives the plan before any upstream of its own region. The region
+// has no number yet, but must receive the remainder of the shares.
 Test(object_placement, plan_may_come_before_the_own_region_is_known)
 {
     routed_entry restarted_host;
@@ -117,12 +116,12 @@
                    restarted_host.now);
     int const far = far_requests(reducer, restarted_host.now);
     cr_expect_geq(far, 17);
-    cr_expect_leq(far, 23, "0.4 of 50, and what a region may be ahead");
+    cr_expect_leq(far, 23, "0.4 of 50, plus the lead that a region may have");
 }
 
-// A host was stopped and started. The plan comes before the configuration
-// does; if it were dropped, all first requests would run at home, where their
-// objects are not known, until the bounded pace has brought the shares back.
+// A host restarts and receives the plan before the configuration. If the plan
+// were dropped, all first requests would run in the local region, where their
+// objects are not cached, until the bounded pace has restored the shares.
 Test(object_placement, plan_that_came_before_the_configuration_is_followed)
 {
     routed_entry restarted_host;
--- a/tests/unit/entry/routed_entry.hpp
+++ b/tests/unit/entry/routed_entry.hpp
@@ -28,9 +28,9 @@
     return route;
 }
 
-/// Services "read" and "write" with three listed upstreams each, one of them
-/// in zone z2, and "read" with one in region r2; routes /r/, /r/special/ and
-/// /w/, and /fetch/ and /book/ whose requests name objects.
+/// Services "read" and "write" with three listed upstreams each, one of them in
+/// zone z2, and one more for "read" in region r2. Routes /r/, /r/special/, /w/,
+/// /split/ and /home/, and /fetch/ and /book/, whose requests name objects.
 struct routed_entry
 {
     routed_entry()
@@ -126,7 +126,7 @@
         return find_effect<Effect>(this->last_effects);
     }
 
-    /// The upstream that the last event sent a request to.
+    /// Upstream to which the last event sent a request; empty if none.
     std::string sent_to() const
     {
         start_upstream const* const order = this->find<start_upstream>();
--- a/tests/unit/entry/routed_request_test.cpp
+++ b/tests/unit/entry/routed_request_test.cpp
@@ -23,8 +23,8 @@
     cr_expect_eq(host.find<answer_problem>()->status, 404);
 }
 
-// An entry host that knows no configuration yet cannot say that a route
-// does not exist.
+// Guards against a 404 from an entry host without a configuration, which cannot
+// know whether a route exists.
 Test(routed_request, host_without_configuration_answers_not_run)
 {
     entry_reducer reducer(routed_entry::make_settings(), test_seed);
@@ -39,8 +39,8 @@
     cr_expect_not(reducer.ready());
 }
 
-// The upstream broke off after the request was sent: it may have run, and a
-// second sending could post it twice.
+// The connection broke after the request was sent: it may have run, and a retry
+// could run it twice.
 Test(routed_request, unsafe_request_is_never_sent_again_once_it_may_have_run)
 {
     routed_entry host;
@@ -53,7 +53,7 @@
     cr_expect(host.sent_to().empty());
 }
 
-// The upstream itself says that it did not run it.
+// The upstream itself states that it did not run the request.
 Test(routed_request, unsafe_request_that_was_refused_is_retried_elsewhere)
 {
     routed_entry host;
@@ -64,8 +64,8 @@
     cr_expect(!host.sent_to().empty() && host.sent_to() != first);
 }
 
-// The address belongs to another upstream by now, which says so (421). It
-// must not be asked again for the one that is gone.
+// The address now belongs to another upstream, which answers 421. Requests for
+// the former upstream must not be sent there again.
 Test(routed_request, upstream_whose_address_was_taken_gets_no_more_requests)
 {
     routed_entry host;
@@ -127,8 +127,8 @@
     }
 }
 
-// A zone is opened again: its upstreams may have lost their caches meanwhile
-// and crash under what they bear when warm.
+// A zone is reopened. Its upstreams may have lost their caches and would crash
+// under the load that they bear when warm.
 Test(routed_request, zone_that_was_opened_is_treated_as_cold)
 {
     routed_entry host;
@@ -160,7 +160,7 @@
     cr_expect_lt(read, 330);
 }
 
-// Nothing comes from the upstream until the route's time is over.
+// The upstream does not respond until the route's timeout has passed.
 Test(routed_request, request_past_its_routes_time_gets_its_answer)
 {
     routed_entry host;
@@ -171,8 +171,8 @@
     cr_expect_not_null(host.find<answer_unknown>());
 }
 
-// A stop with a bounded time: whoever comes after half of it could not be
-// served to the end, and must be sent away by a refused connection.
+// A stop with a bounded time: requests that arrive in the second half could not
+// be completed, so their connections must be refused.
 Test(routed_request, bounded_stop_takes_no_callers_in_its_second_half)
 {
     routed_entry host;
@@ -183,11 +183,11 @@
     cr_expect_null(host.find<stop_accepting_connections>());
     host.advance(250ms);
     cr_expect_not_null(host.find<stop_accepting_connections>());
-    cr_expect_null(host.find<drained>(), "a request is under way");
+    cr_expect_null(host.find<drained>(), "a request is in progress");
 }
 
-// What may be kept in one region only must not leave it, though the own
-// region has upstreams that are nearer and idle.
+// Requests that are restricted to a region must not leave it, even though the
+// local region has nearer idle upstreams.
 Test(routed_request, route_with_a_region_runs_in_that_region_only)
 {
     routed_entry host;
@@ -204,8 +204,8 @@
                        "not sent to another region instead");
 }
 
-// The way between regions is for the plan alone: requests without a home
-// stay in the own region while that has an upstream.
+// Only the plan moves requests between regions: requests without a restriction
+// stay in the local region while it has an upstream.
 Test(routed_request, request_without_a_plan_stays_in_its_region)
 {
     routed_entry host;
@@ -218,9 +218,10 @@
     }
 }
 
-// A caller whose request may run in an idle region only hears "not run".
-// Upstreams of another region reported long queues; of the idle ones nothing
-// is known yet, and what is usual was one mean over both regions.
+// Guards against refusing a request that may run in an idle region only. It was
+// refused when upstreams of another region reported long queues and nothing was
+// known of the idle ones, because the usual load was one mean over both
+// regions.
 Test(routed_request, full_region_does_not_refuse_for_an_idle_one)
 {
     routed_entry host;
@@ -240,9 +241,9 @@
     cr_expect_eq(host.sent_to(), "read-far");
 }
 
-// An upstream that came back cold crashes. 24 entry hosts of its region each
-// have one request for it in the same second; each of them has a token saved,
-// and the bound over all hosts is 12.8.
+// Guards against overloading a cold upstream, which would crash. 24 entry hosts
+// of its region each receive requests in the same second, and each has a token
+// saved; the bound over all hosts is 12.8.
 Test(routed_request, cold_upstream_is_bounded_over_any_number_of_hosts)
 {
     int max_sent = 0;
@@ -277,5 +278,5 @@
         max_sent = std::max(max_sent, sent);
     }
     cr_expect_leq(max_sent, 12);
-    cr_expect_gt(max_sent, 0, "somebody must see that it is warm again");
+    cr_expect_gt(max_sent, 0, "some host must find out that it is warm again");
 }
--- a/tests/unit/entry/split_over_hosts_test.cpp
+++ b/tests/unit/entry/split_over_hosts_test.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-/// How far a part's share may be from its weight's.
+/// Largest permitted difference between a target's share and its weight.
 constexpr double weight_tolerance = 0.1;
 
 /// Entry hosts that serve a route split between the services "first" and
@@ -35,13 +35,13 @@
     {
     }
 
-    /// Starts every process anew.
+    /// Restarts every process.
     void start_all(std::uint64_t incarnation)
     {
         this->fleet.start_all(incarnation);
     }
 
-    /// Each host gets so many requests.
+    /// Sends `count` requests to each host.
     void request_each(int count)
     {
         for (std::size_t host = 0; host < this->fleet.size(); ++host)
@@ -54,7 +54,7 @@
         }
     }
 
-    /// How far the first part's share is from its weight's.
+    /// Difference between the share of the first target and its weight.
     double deviation() const
     {
         return std::abs(static_cast<double>(this->first) /
@@ -75,13 +75,13 @@
     int requests_each = 0;
 };
 
-/// Some hundreds of requests, a few for each host.
+/// 300 to 960 requests in total, a few for each host.
 constexpr traffic traffic_patterns[] = {{80, 12}, {300, 3}, {300, 1}};
 
 constexpr std::uint32_t full_weight = 100;
 constexpr std::uint32_t first_weights[] = {1, 10, 25, 50, 75, 99};
 
-/// Calls `check` for every traffic, weight and time of start.
+/// Calls `check` for every combination of traffic, weight and start time.
 template <class Check>
 void for_all_fleets(Check const& check)
 {
@@ -102,8 +102,8 @@
 
 } // namespace
 
-// Guards against hosts that draw the parts of a split route alike: a few
-// requests at each of many hosts then repeat what one host begins with.
+// Guards against hosts that draw the same targets of a split route: a few
+// requests at each of many hosts would then repeat the first draws of one host.
 Test(split_over_hosts, few_requests_at_each_host_keep_the_weights)
 {
     for_all_fleets(
@@ -118,7 +118,8 @@
         });
 }
 
-// Guards against hosts that draw after a restart what they drew before it.
+// Guards against hosts that repeat after a restart the draws of the previous
+// incarnation.
 Test(split_over_hosts, restarts_of_all_hosts_keep_the_weights)
 {
     for_all_fleets(
--- a/tests/unit/entry/upstream_fleet.hpp
+++ b/tests/unit/entry/upstream_fleet.hpp
@@ -17,25 +17,25 @@
 namespace bilberrylead::entry
 {
 
-/// What a upstream_fleet is made of.
+/// Settings of an `upstream_fleet`.
 struct upstream_fleet_settings
 {
     std::size_t hosts = 10;
     std::size_t upstreams = 18;
-    /// An upstream that ended is back, under a new id, after so long.
+    /// Time after which an upstream that ended is back under a new id.
     duration restart = 3s;
-    /// The listing shows changes so much later.
+    /// Delay of changes in the upstream list.
     duration listing_lag = 1s;
-    /// What one entry host tells reaches the others so much later.
+    /// Delay of messages between entry hosts.
     duration peer_delay = 50ms;
-    /// Time that a run takes.
+    /// Run time of a request.
     duration run = 100ms;
-    /// Requests a second that upstream 0 names as its limit; nothing: none.
+    /// Requests per second that upstream 0 sets as its limit; empty for none.
     std::optional<double> limit = std::nullopt;
 };
 
-/// Entry hosts and upstreams that run requests, end under some of them and
-/// come back. Time passes only within `run_for`.
+/// Entry hosts, and upstreams that run requests, end during some of them and
+/// restart. Time advances only in `run_for`.
 class upstream_fleet
 {
 public:
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Starts an entry host, anew if it runs. It knows nothing of before.
+    /// Starts or restarts an entry host, without any state of its previous
+    /// incarnation.
     void start_host(std::size_t host)
     {
         entry_settings host_settings;
@@ -76,7 +77,7 @@
         this->deliver(host, upstreams_listed{this->listing()});
         this->deliver(host, entry_hosts_counted{this->processes.size(),
                                                 this->processes.size()});
-        // Whoever it links to tells what is known.
+        // The other hosts send their records as soon as they are connected.
         for (std::size_t other = 0; other < this->processes.size(); ++other)
         {
             if (other != host && this->processes[other] != nullptr)
@@ -86,8 +87,8 @@
         }
     }
 
-    /// A request comes to an entry host. One with the digest of `crashing`
-    /// ends every upstream that runs it.
+    /// Passes a new request to an entry host. A request with the digest
+    /// `crashing_digest` ends every upstream that runs it.
     void arrive(std::size_t host, std::uint64_t digest)
     {
         request_arrived arrival = make_arrival(++this->last_request);
@@ -97,7 +98,7 @@
         this->deliver(host, arrival);
     }
 
-    /// Ends an upstream, with all that runs there.
+    /// Ends an upstream and all of its running requests.
     void end_upstream(std::size_t slot)
     {
         upstream_slot& ended = this->upstream_slots[slot];
@@ -125,7 +126,7 @@
                        });
     }
 
-    /// Resets every connection to an upstream, which goes on running.
+    /// Resets every connection to an upstream, which keeps running.
     void reset_upstream(std::size_t slot)
     {
         std::map<request_number, run> const lost =
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the time.
     void run_for(duration time)
     {
         instant const end = this->now + time;
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Cuts a host off from the others, or joins it to them again.
+    /// Partitions a host from the others, or reconnects it.
     void set_partitioned(std::size_t host, bool is_partitioned)
     {
         if (is_partitioned)
@@ -178,13 +179,13 @@
         }
     }
 
-    /// Upstreams that ended so far.
+    /// Number of times that an upstream has ended.
     std::size_t ended_upstreams() const
     {
         return this->ended_count;
     }
 
-    /// Runs of a request so far, and those sent later than an instant.
+    /// Runs of a request, counted from `since`.
     std::size_t runs_of(std::uint64_t digest, instant since = {}) const
     {
         std::size_t count = 0;
@@ -195,19 +196,19 @@
         return count;
     }
 
-    /// When upstream 0 first named its limit.
+    /// Time at which upstream 0 first set its limit.
     std::optional<instant> limit_first_named_at() const
     {
         return this->limit_named_at;
     }
 
-    /// Changes what upstream 0 names from now on.
+    /// Changes the limit that upstream 0 sets.
     void set_limit(std::optional<double> limit)
     {
         this->settings.limit = limit;
     }
 
-    /// Requests that reached upstream 0 since an instant.
+    /// Requests that reached upstream 0 since `since`.
     std::size_t limited_since(instant since) const
     {
         return static_cast<std::size_t>(std::count_if(
@@ -218,8 +219,8 @@
             }));
     }
 
-    /// Most requests that reached upstream 0 in any span of that length,
-    /// from an instant on.
+    /// Largest number of requests that reached upstream 0 in any span of that
+    /// length from `from` on.
     std::size_t max_limited_within(duration span, instant from) const
     {
         std::size_t max_count = 0;
@@ -235,26 +236,26 @@
         return max_count;
     }
 
-    /// When the request ended an upstream for the third time.
+    /// Time of the third end of an upstream under the crashing request.
     instant third_crash() const
     {
         return this->crashes.size() < 3 ? instant::max() : this->crashes[2];
     }
 
-    /// Requests with that digest that were answered by an upstream.
+    /// Number of requests with that digest that an upstream answered.
     std::size_t answered(std::uint64_t digest)
     {
         return this->answers[digest];
     }
 
-    /// Requests with that digest that came.
+    /// Number of requests with that digest that arrived.
     std::size_t arrivals(std::uint64_t digest)
     {
         return this->arrived[digest];
     }
 
-    /// Requests with that digest that were refused since upstreams ended
-    /// under it.
+    /// Number of requests with that digest that were refused because upstreams
+    /// ended while they ran it.
     std::size_t refused_for_crashes(std::uint64_t digest)
     {
         return this->refusals[digest];
@@ -353,7 +354,7 @@
                this->partitioned.contains(other);
     }
 
-    /// One host tells another all that it knows.
+    /// Sends all crash records of one host to another.
     void send_all_records(std::size_t from, std::size_t to)
     {
         this->send_records(from, to,
