--- a/tests/unit/entry/entry_fleet.hpp
+++ b/tests/unit/entry/entry_fleet.hpp
@@ -15,7 +15,7 @@
 
 using listed_upstreams = std::vector<discovery::listed_upstream>;
 
-/// An upstream in zone z1, region r1.
+/// Listed upstream in zone z1, region r1.
 inline discovery::listed_upstream make_listed(std::string const& service,
                                               std::string const& id,
                                               std::uint32_t slots)
@@ -29,7 +29,7 @@
     return listed;
 }
 
-/// One route for every path of a.example.
+/// Configuration with one route for every path of a.example.
 inline std::shared_ptr<config::configuration>
 make_one_route(std::vector<config::route_target> targets)
 {
@@ -60,8 +60,8 @@
     return arrival;
 }
 
-/// Entry hosts with the same configuration and listing, each a process of
-/// its own that knows nothing of the others.
+/// Entry hosts with the same configuration and upstream list, each a separate
+/// process without contact to the others.
 class entry_fleet
 {
 public:
@@ -75,13 +75,13 @@
         this->start_all(incarnation);
     }
 
-    /// Starts every process anew.
+    /// Restarts every process.
     void start_all(std::uint64_t incarnation)
     {
-        for (std::size_t place = 0; place < this->processes.size(); ++place)
+        for (std::size_t host = 0; host < this->processes.size(); ++host)
         {
             entry_settings settings;
-            settings.self = host_id(fmt::format("edge-{}", place));
+            settings.self = host_id(fmt::format("edge-{}", host));
             settings.zone = zone_id("z1");
             settings.region = region_id("r1");
             settings.places = {{zone_id("z1"), region_id("r1"), {}},
@@ -89,10 +89,10 @@
             settings.upstreams_are_listed = true;
             settings.waiting = config::waiting_place::upstream;
             process_seed const seed(settings.self, incarnation);
-            this->processes[place] =
+            this->processes[host] =
                 std::make_unique<entry_reducer>(settings, seed);
-            this->take(place, configuration_received{1, this->content});
-            this->take(place, upstreams_listed{this->listing});
+            this->reduce(host, configuration_received{1, this->content});
+            this->reduce(host, upstreams_listed{this->listing});
         }
     }
 
@@ -101,25 +101,26 @@
         return this->processes.size();
     }
 
-    /// Gives an event to one of them.
-    effects take(std::size_t place, event const& happened)
+    /// Passes an event to a host.
+    effects reduce(std::size_t host, event const& event)
     {
-        return this->processes[place]->reduce(happened, this->now);
+        return this->processes[host]->reduce(event, this->now);
     }
 
-    /// A request comes to one of them.
-    effects arrive(std::size_t place)
+    /// Passes a new request to a host.
+    effects arrive(std::size_t host)
     {
         ++this->last_request;
-        return this->take(place, make_arrival(this->last_request));
+        return this->reduce(host, make_arrival(this->last_request));
     }
 
-    /// The upstream of a request that comes to one of them, which answers it
-    /// at once; empty if it was not sent.
-    std::string sent_to(std::size_t place)
+    /// Passes a new request to a host, completes it at once, and returns the
+    /// upstream it was sent to; empty if it was not sent.
+    std::string sent_to(std::size_t host)
     {
-        effects const said = this->arrive(place);
-        start_upstream const* const order = find_effect<start_upstream>(said);
+        effects const decided = this->arrive(host);
+        start_upstream const* const order =
+            find_effect<start_upstream>(decided);
         if (order == nullptr)
         {
             return {};
@@ -127,8 +128,8 @@
         upstream_head_received head;
         head.request = order->request;
         head.status = 200;
-        this->take(place, head);
-        this->take(place, upstream_answer_finished{order->request, {}});
+        this->reduce(host, head);
+        this->reduce(host, upstream_answer_finished{order->request, {}});
         return order->upstream.text();
     }
 
--- a/tests/unit/entry/limited_upstream_test.cpp
+++ b/tests/unit/entry/limited_upstream_test.cpp
@@ -13,13 +13,13 @@
 namespace
 {
 
-/// The rule counts requests within this span, from so long after the limit
-/// was first named.
-constexpr duration contact_time = 4s;
+/// The limit is checked over any span of this length, starting this long after
+/// the limit was first set.
+constexpr duration propagation_time = 4s;
 constexpr std::size_t fleet_sizes[] = {2, 10, 80, 300};
 constexpr double limits[] = {0.5, 1.7, 2.7, 10};
 
-/// What the rule allows within contact_time.
+/// Requests that are permitted within `propagation_time`.
 double allowed(double limit)
 {
     return 1.5 * limit * 4 + 5;
@@ -27,15 +27,15 @@
 
 void expect_limit_kept(upstream_fleet const& fleet, double limit)
 {
-    cr_assert(fleet.first_named().has_value());
-    std::size_t const most = fleet.most_limited_within(
-        contact_time, *fleet.first_named() + contact_time);
-    cr_expect_leq(static_cast<double>(most), allowed(limit),
+    cr_assert(fleet.limit_first_named_at().has_value());
+    std::size_t const max_count = fleet.max_limited_within(
+        propagation_time, *fleet.limit_first_named_at() + propagation_time);
+    cr_expect_leq(static_cast<double>(max_count), allowed(limit),
                   "%zu hosts, limit %.1f: %zu in 4 s", fleet.hosts(), limit,
-                  most);
+                  max_count);
 }
 
-/// Requests come to hosts drawn by lot, so many a second over all of them.
+/// Sends `per_second` requests per second in total to randomly selected hosts.
 void send_requests(upstream_fleet& fleet, double per_second, duration time)
 {
     policy::generator random(7);
@@ -53,8 +53,8 @@
 
 } // namespace
 
-// Guards against hosts that each keep an upstream's limit, or none of them,
-// while the sum over all hosts is over it.
+// Guards against hosts that enforce an upstream's limit each on its own, or not
+// at all, so that the sum over all hosts exceeds it.
 Test(limited_upstream, hosts_together_keep_the_limit)
 {
     for (std::size_t const hosts : fleet_sizes)
@@ -69,10 +69,10 @@
     }
 }
 
-// Guards against a limit that is kept by sending nothing.
+// Guards against a limit that is kept by sending too few requests.
 Test(limited_upstream, limit_is_used)
 {
-    constexpr double least_use = 0.7;
+    constexpr double min_use = 0.7;
     for (std::size_t const hosts : fleet_sizes)
     {
         for (double const limit : limits)
@@ -83,15 +83,15 @@
             instant const begin = fleet.now;
             send_requests(fleet, 40, 30s);
             double const sent = static_cast<double>(fleet.limited_since(begin));
-            cr_expect_geq(sent, least_use * limit * 30,
+            cr_expect_geq(sent, min_use * limit * 30,
                           "%zu hosts, limit %.1f: %.0f in 30 s", hosts, limit,
                           sent);
         }
     }
 }
 
-// Guards against tokens that all hosts save while few requests come, and
-// spend together.
+// Guards against tokens that all hosts save during a period of few requests and
+// then spend at once.
 Test(limited_upstream, burst_after_a_lull_keeps_the_limit)
 {
     for (std::size_t const hosts : fleet_sizes)
@@ -108,7 +108,7 @@
     }
 }
 
-// Guards against hosts that start without knowing a limit, all together.
+// Guards against hosts that restart together without knowing the limit.
 Test(limited_upstream, restarted_hosts_keep_the_limit)
 {
     for (std::size_t const hosts : fleet_sizes)
@@ -125,8 +125,8 @@
     }
 }
 
-// Guards against a limit that outlives the upstream's need.
-Test(limited_upstream, limit_ends_on_all_hosts_once_one_hears_its_end)
+// Guards against a limit that stays in force after the upstream has lifted it.
+Test(limited_upstream, limit_ends_on_all_hosts_once_one_receives_its_end)
 {
     for (std::size_t const hosts : fleet_sizes)
     {
@@ -146,7 +146,7 @@
     }
 }
 
-// Guards against a changed limit that is kept at its old value.
+// Guards against the old value of a limit that has changed.
 Test(limited_upstream, lower_limit_replaces_the_first_one)
 {
     upstream_fleet fleet({.hosts = 10, .upstreams = 3, .limit = 10});
@@ -155,13 +155,13 @@
     fleet.set_limit(lower);
     instant const changed = fleet.now;
     send_requests(fleet, 40, 15s);
-    std::size_t const most =
-        fleet.most_limited_within(contact_time, changed + contact_time);
-    cr_expect_leq(static_cast<double>(most), allowed(lower), "%zu in 4 s",
-                  most);
+    std::size_t const max_count =
+        fleet.max_limited_within(propagation_time, changed + propagation_time);
+    cr_expect_leq(static_cast<double>(max_count), allowed(lower), "%zu in 4 s",
+                  max_count);
 }
 
-// Guards against callers that wait in vain where all upstreams are at their
+// Guards against callers that wait in vain while all upstreams are at their
 // limits.
 Test(limited_upstream, requests_are_refused_at_once_where_all_are_limited)
 {
