--- a/bilberrylead/agreement/append_receiver.cpp
+++ b/bilberrylead/agreement/append_receiver.cpp
@@ -33,8 +33,9 @@
     std::uint64_t const agreed =
         request.previous_index + request.entries.size();
     this->applier.commit_through(std::min(request.commit_index, agreed));
-    this->core.answer(from, append_reply{request.round, true, agreed, 0, 0},
-                      this->core.switches.durable_entries_before_answer);
+    this->core.send_after_sync(
+        from, append_reply{request.round, true, agreed, 0, 0},
+        this->core.enabled_safeguards.durable_entries_before_answer);
 }
 
 bool append_receiver::is_well_formed(append_request const& request) const
@@ -79,8 +80,9 @@
         retry = std::max(log.first_of_term(request.previous_index),
                          this->core.commit_index + 1);
     }
-    this->core.answer(from, append_reply{request.round, false, 0,
-                                         request.previous_index, retry});
+    this->core.send_after_sync(
+        from,
+        append_reply{request.round, false, 0, request.previous_index, retry});
 }
 
 void append_receiver::store(append_request const& request)
@@ -108,7 +110,7 @@
     }
     if (!written.entries.empty())
     {
-        this->core.out.write(std::move(written));
+        this->core.effects.write(std::move(written));
     }
 }
 
--- a/bilberrylead/agreement/append_sender.cpp
+++ b/bilberrylead/agreement/append_sender.cpp
@@ -12,7 +12,7 @@
 
 void append_sender::send_entries(peer_progress& peer)
 {
-    if (peer.probing || peer.sending)
+    if (peer.probing || peer.outgoing_snapshot)
     {
         return;
     }
@@ -24,14 +24,15 @@
     replica_settings const& bounds = this->core.settings;
     while (peer.next_index <= this->core.log.last_index())
     {
-        std::uint64_t const under_way = peer.next_index - 1 - peer.match_index;
-        if (under_way >= bounds.max_inflight_entries)
+        std::uint64_t const inflight = peer.next_index - 1 - peer.match_index;
+        if (inflight >= bounds.max_inflight_entries)
         {
             return;
         }
-        std::size_t const room = std::min<std::size_t>(
-            bounds.max_append_entries, bounds.max_inflight_entries - under_way);
-        peer.next_index += this->send_append(peer, peer.next_index - 1, room);
+        std::size_t const max_entries = std::min<std::size_t>(
+            bounds.max_append_entries, bounds.max_inflight_entries - inflight);
+        peer.next_index +=
+            this->send_append(peer, peer.next_index - 1, max_entries);
     }
 }
 
@@ -44,7 +45,7 @@
     }
 
     // A dead member gets no entries again and again, just a question.
-    std::size_t const entries = this->answered_lately(peer)
+    std::size_t const entries = this->replied_recently(peer)
                                     ? this->core.settings.max_append_entries
                                     : 0;
     this->send_append(peer, peer.next_index - 1, entries);
@@ -52,11 +53,11 @@
 
 void append_sender::send_heartbeat(peer_progress& peer)
 {
-    if (peer.sending)
+    if (peer.outgoing_snapshot)
     {
         bool const lost = this->core.now - peer.chunk_sent_at >=
                           2 * this->core.settings.heartbeat_interval;
-        if (lost && this->answered_lately(peer))
+        if (lost && this->replied_recently(peer))
         {
             this->send_chunk(peer);
             return;
@@ -76,20 +77,21 @@
 
 void append_sender::send_chunk(peer_progress& peer)
 {
-    snapshot const& whole = *peer.sending;
+    snapshot const& current = *peer.outgoing_snapshot;
     std::uint64_t const from =
-        std::min<std::uint64_t>(peer.snapshot_offset, whole.state.size());
+        std::min<std::uint64_t>(peer.snapshot_offset, current.state.size());
     std::uint64_t const length = std::min<std::uint64_t>(
-        this->core.settings.snapshot_chunk_bytes, whole.state.size() - from);
+        this->core.settings.snapshot_chunk_bytes, current.state.size() - from);
     auto const first =
-        whole.state.begin() + static_cast<bytes::difference_type>(from);
+        current.state.begin() + static_cast<bytes::difference_type>(from);
     auto const last = first + static_cast<bytes::difference_type>(length);
     peer.chunk_sent_at = this->core.now;
-    this->core.out.send_beside_sync(send{
-        peer.who.host,
-        this->core.make_message(install_snapshot_request{
-            this->rounds.current(), whole.last_index, whole.last_term,
-            whole.membership, whole.state.size(), from, bytes(first, last)})});
+    this->core.effects.send_before_sync(
+        send{peer.member.host,
+             this->core.make_message(install_snapshot_request{
+                 this->rounds.current(), current.last_index, current.last_term,
+                 current.membership, current.state.size(), from,
+                 bytes(first, last)})});
 }
 
 bool append_sender::needs_snapshot(peer_progress const& peer) const
@@ -99,15 +101,15 @@
 
 void append_sender::start_snapshot(peer_progress& peer)
 {
-    peer.sending = this->core.latest_snapshot;
+    peer.outgoing_snapshot = this->core.latest_snapshot;
     peer.snapshot_offset = 0;
     this->send_chunk(peer);
 }
 
-bool append_sender::answered_lately(peer_progress const& peer) const
+bool append_sender::replied_recently(peer_progress const& peer) const
 {
-    return peer.answered_at.has_value() &&
-           this->core.now - *peer.answered_at <
+    return peer.last_reply_at.has_value() &&
+           this->core.now - *peer.last_reply_at <
                this->core.settings.election_timeout;
 }
 
@@ -132,8 +134,8 @@
                                  this->core.settings.max_append_bytes);
     }
     std::size_t const sent = request.entries.size();
-    this->core.out.send_beside_sync(
-        send{peer.who.host, this->core.make_message(std::move(request))});
+    this->core.effects.send_before_sync(
+        send{peer.member.host, this->core.make_message(std::move(request))});
     return sent;
 }
 
--- a/bilberrylead/agreement/append_sender.hpp
+++ b/bilberrylead/agreement/append_sender.hpp
@@ -33,7 +33,7 @@
 private:
     bool needs_snapshot(peer_progress const& peer) const;
     void start_snapshot(peer_progress& peer);
-    bool answered_lately(peer_progress const& peer) const;
+    bool replied_recently(peer_progress const& peer) const;
     std::size_t send_append(peer_progress const& peer,
                             std::uint64_t previous_index,
                             std::size_t max_entries);
--- a/bilberrylead/agreement/effect_collector.cpp
+++ b/bilberrylead/agreement/effect_collector.cpp
@@ -24,13 +24,13 @@
     {
         this->hard_state_written = true;
     }
-    if (!this->join_entries(next))
+    if (!this->merge_entries(next))
     {
         this->writes.push_back(std::move(next));
     }
 }
 
-bool effect_collector::join_entries(effect& next)
+bool effect_collector::merge_entries(effect& next)
 {
     append_entries* const added = std::get_if<append_entries>(&next);
     if (added == nullptr || this->writes.empty())
@@ -50,9 +50,9 @@
     return true;
 }
 
-void effect_collector::send_beside_sync(send next)
+void effect_collector::send_before_sync(send next)
 {
-    this->beside_sync.emplace_back(std::move(next));
+    this->before_sync.emplace_back(std::move(next));
 }
 
 void effect_collector::add(effect next)
@@ -65,7 +65,7 @@
     this->before_writes.push_back(std::move(next));
 }
 
-std::vector<effect> effect_collector::take()
+std::vector<effect> effect_collector::take_all()
 {
     std::vector<effect> all;
     all.swap(this->before_writes);
@@ -75,13 +75,13 @@
     // A new leader's first append tells of a term that is not durable yet.
     if (!this->hard_state_written)
     {
-        move_to_end(all, this->beside_sync);
+        move_to_end(all, this->before_sync);
     }
     if (has_writes)
     {
         all.emplace_back(sync{});
     }
-    move_to_end(all, this->beside_sync);
+    move_to_end(all, this->before_sync);
     move_to_end(all, this->after_sync);
     this->hard_state_written = false;
     return all;
--- a/bilberrylead/agreement/effect_collector.hpp
+++ b/bilberrylead/agreement/effect_collector.hpp
@@ -20,7 +20,7 @@
     /// Adds a send that tells nothing about the sender's disk, so that the
     /// members' disks work side by side. With a new term or vote in the
     /// same call it waits for the sync like the rest.
-    void send_beside_sync(send next);
+    void send_before_sync(send next);
 
     /// Adds an effect that waits for the writes of this call.
     void add(effect next);
@@ -30,14 +30,14 @@
     void add_before_writes(effect next);
 
     /// Hands out everything and starts afresh.
-    std::vector<effect> take();
+    std::vector<effect> take_all();
 
 private:
-    bool join_entries(effect& next);
+    bool merge_entries(effect& next);
 
     std::vector<effect> before_writes;
     std::vector<effect> writes;
-    std::vector<effect> beside_sync;
+    std::vector<effect> before_sync;
     std::vector<effect> after_sync;
     bool hard_state_written = false;
 };
--- a/bilberrylead/agreement/election.cpp
+++ b/bilberrylead/agreement/election.cpp
@@ -9,9 +9,9 @@
 {
 }
 
-void election::heard_leader()
+void election::record_leader_contact()
 {
-    this->heard_at = this->core.now;
+    this->leader_contact_at = this->core.now;
     this->restart_timer();
 }
 
@@ -19,8 +19,9 @@
 {
     std::uniform_int_distribution<duration::rep> spread(
         0, this->core.settings.election_timeout.count());
-    this->due_at = this->core.now + this->core.settings.election_timeout +
-                   duration(spread(this->core.random));
+    this->election_due_at = this->core.now +
+                            this->core.settings.election_timeout +
+                            duration(spread(this->core.random));
 }
 
 void election::on_tick()
@@ -28,12 +29,12 @@
     bool const waits = this->core.role() == role::follower ||
                        this->core.role() == role::pre_candidate ||
                        this->core.role() == role::candidate;
-    if (!waits || this->core.now < this->due_at)
+    if (!waits || this->core.now < this->election_due_at)
     {
         return;
     }
     this->core.leader = host_id();
-    if (this->core.switches.pre_vote)
+    if (this->core.enabled_safeguards.pre_vote)
     {
         this->start_pre_vote();
     }
@@ -45,14 +46,14 @@
 
 /// A vote within the election timeout of a leader's message could elect a
 /// successor while that leader still answers reads under its lease.
-bool election::may_hear_leader() const
+bool election::has_recent_leader_contact() const
 {
-    if (!this->core.switches.vote_waits_for_lease)
+    if (!this->core.enabled_safeguards.vote_waits_for_lease)
     {
         return false;
     }
     return this->core.role() == role::leader ||
-           this->core.now - this->heard_at <
+           this->core.now - this->leader_contact_at <
                this->core.settings.election_timeout;
 }
 
@@ -66,12 +67,12 @@
 
 void election::start_pre_vote()
 {
-    this->core.life.ask_for_pre_votes();
+    this->core.life_cycle.start_pre_vote();
     this->restart_timer();
-    this->granted.clear();
-    this->ask_voters(pre_vote_request{this->core.hard_state.term + 1,
-                                      this->core.log.last_index(),
-                                      this->core.log.last_term()});
+    this->granted_by.clear();
+    this->send_to_voters(pre_vote_request{this->core.hard_state.term + 1,
+                                          this->core.log.last_index(),
+                                          this->core.log.last_term()});
     if (this->count_grant(this->core.self, this->core.incarnation))
     {
         this->start_campaign(false);
@@ -80,81 +81,85 @@
 
 void election::start_campaign(bool handover)
 {
-    this->core.life.campaign();
+    this->core.life_cycle.campaign();
     this->core.set_hard_state(this->core.hard_state.term + 1, this->core.self);
     this->core.leader = host_id();
     this->restart_timer();
-    this->granted.clear();
-    this->ask_voters(vote_request{this->core.log.last_index(),
-                                  this->core.log.last_term(), handover});
+    this->granted_by.clear();
+    this->send_to_voters(vote_request{this->core.log.last_index(),
+                                      this->core.log.last_term(), handover});
     if (this->count_grant(this->core.self, this->core.incarnation))
     {
-        this->core.life.win();
+        this->core.life_cycle.win();
     }
 }
 
-void election::ask_voters(message_body const& request)
+void election::send_to_voters(message_body const& request)
 {
-    bool const durable_first = this->core.switches.durable_vote_before_answer;
+    bool const wait_for_sync =
+        this->core.enabled_safeguards.durable_vote_before_answer;
     for (member const& one : this->core.memberships.current().members)
     {
         if (one.voter && one.host != this->core.self)
         {
-            this->core.answer(one.host, request, durable_first);
+            this->core.send_after_sync(one.host, request, wait_for_sync);
         }
     }
 }
 
-bool election::count_grant(host_id const& from, std::uint64_t sender)
+bool election::count_grant(host_id const& from,
+                           std::uint64_t sender_incarnation)
 {
     // A host's former self may have granted, or its blank successor: only
     // the listed incarnation holds the entries that the vote vouches for.
-    bool const counts =
-        this->core.counts_vote(this->core.memberships.current(), from, sender);
-    if (counts && std::ranges::find(this->granted, from) == this->granted.end())
+    bool const counts = this->core.is_counted_voter(
+        this->core.memberships.current(), from, sender_incarnation);
+    if (counts &&
+        std::ranges::find(this->granted_by, from) == this->granted_by.end())
     {
-        this->granted.push_back(from);
+        this->granted_by.push_back(from);
     }
-    return this->granted.size() >= this->core.memberships.current().quorum();
+    return this->granted_by.size() >= this->core.memberships.current().quorum();
 }
 
-void election::on_pre_vote_request(host_id const& from, message const& whole,
+void election::on_pre_vote_request(host_id const& from, message const& received,
                                    pre_vote_request const& request)
 {
-    if (this->may_hear_leader())
+    if (this->has_recent_leader_contact())
     {
         return;
     }
-    this->core.adopt_term(whole.term);
+    this->core.adopt_term(received.term);
     bool const granted =
         request.proposed_term > this->core.hard_state.term &&
         this->is_up_to_date(request.last_term, request.last_index);
-    this->core.answer(from, pre_vote_reply{request.proposed_term, granted});
+    this->core.send_after_sync(from,
+                               pre_vote_reply{request.proposed_term, granted});
 }
 
-void election::on_pre_vote_reply(host_id const& from, message const& whole,
+void election::on_pre_vote_reply(host_id const& from, message const& received,
                                  pre_vote_reply const& reply)
 {
     bool const asked = this->core.role() == role::pre_candidate &&
                        reply.proposed_term == this->core.hard_state.term + 1;
-    if (asked && reply.granted && this->count_grant(from, whole.incarnation))
+    if (asked && reply.granted && this->count_grant(from, received.incarnation))
     {
         this->start_campaign(false);
     }
 }
 
-void election::on_vote_request(host_id const& from, message const& whole,
+void election::on_vote_request(host_id const& from, message const& received,
                                vote_request const& request)
 {
-    if (!request.handover && this->may_hear_leader())
+    if (!request.handover && this->has_recent_leader_contact())
     {
         return;
     }
-    this->core.adopt_term(whole.term);
+    this->core.adopt_term(received.term);
     hard_state const& own = this->core.hard_state;
     bool const free = own.voted_for.empty() || own.voted_for == from;
     bool const granted =
-        whole.term == own.term && free &&
+        received.term == own.term && free &&
         this->is_up_to_date(request.last_term, request.last_index);
     if (granted)
     {
@@ -164,24 +169,25 @@
         }
         this->restart_timer();
     }
-    this->core.answer(from, vote_reply{granted},
-                      this->core.switches.durable_vote_before_answer);
+    this->core.send_after_sync(
+        from, vote_reply{granted},
+        this->core.enabled_safeguards.durable_vote_before_answer);
 }
 
-void election::on_vote_reply(host_id const& from, message const& whole,
+void election::on_vote_reply(host_id const& from, message const& received,
                              vote_reply const& reply)
 {
     bool const asked = this->core.role() == role::candidate &&
-                       whole.term == this->core.hard_state.term;
-    if (asked && reply.granted && this->count_grant(from, whole.incarnation))
+                       received.term == this->core.hard_state.term;
+    if (asked && reply.granted && this->count_grant(from, received.incarnation))
     {
-        this->core.life.win();
+        this->core.life_cycle.win();
     }
 }
 
-void election::on_timeout_now(host_id const& from, message const& whole)
+void election::on_timeout_now(host_id const& from, message const& received)
 {
-    bool const asked = whole.term == this->core.hard_state.term &&
+    bool const asked = received.term == this->core.hard_state.term &&
                        from == this->core.leader &&
                        this->core.role() == role::follower;
     if (asked)
--- a/bilberrylead/agreement/election.hpp
+++ b/bilberrylead/agreement/election.hpp
@@ -21,7 +21,7 @@
 
     /// A leader showed itself, or may have one before this start: grants
     /// nothing and asks for nothing for an election timeout.
-    void heard_leader();
+    void record_leader_contact();
 
     /// Waits a full timeout before the next attempt.
     void restart_timer();
@@ -30,32 +30,32 @@
     void on_tick();
 
     /// Answers one who asks whether it could win.
-    void on_pre_vote_request(host_id const& from, message const& whole,
+    void on_pre_vote_request(host_id const& from, message const& received,
                              pre_vote_request const& request);
     /// Counts, and campaigns with a quorum.
-    void on_pre_vote_reply(host_id const& from, message const& whole,
+    void on_pre_vote_reply(host_id const& from, message const& received,
                            pre_vote_reply const& reply);
     /// Votes, or does not.
-    void on_vote_request(host_id const& from, message const& whole,
+    void on_vote_request(host_id const& from, message const& received,
                          vote_request const& request);
     /// Counts, and wins with a quorum.
-    void on_vote_reply(host_id const& from, message const& whole,
+    void on_vote_reply(host_id const& from, message const& received,
                        vote_reply const& reply);
     /// Campaigns at once, if the leader itself asks for it.
-    void on_timeout_now(host_id const& from, message const& whole);
+    void on_timeout_now(host_id const& from, message const& received);
 
 private:
-    bool may_hear_leader() const;
+    bool has_recent_leader_contact() const;
     bool is_up_to_date(std::uint64_t last_term, std::uint64_t last_index) const;
     void start_pre_vote();
     void start_campaign(bool handover);
-    void ask_voters(message_body const& request);
-    bool count_grant(host_id const& from, std::uint64_t sender);
+    void send_to_voters(message_body const& request);
+    bool count_grant(host_id const& from, std::uint64_t sender_incarnation);
 
     replica_core& core;
-    instant heard_at;
-    instant due_at;
-    std::vector<host_id> granted;
+    instant leader_contact_at;
+    instant election_due_at;
+    std::vector<host_id> granted_by;
 };
 
 } // namespace bilberrylead::agreement
--- a/bilberrylead/agreement/events/started.hpp
+++ b/bilberrylead/agreement/events/started.hpp
@@ -25,7 +25,7 @@
     /// only by an operator's one-time order, the same at every founder.
     /// A blank host without it waits until a leader takes it in; started
     /// again with it after a disk loss it would vote as its former self.
-    std::optional<membership> founding;
+    std::optional<membership> initial_membership;
 };
 
 } // namespace bilberrylead::agreement
--- a/bilberrylead/agreement/handover.cpp
+++ b/bilberrylead/agreement/handover.cpp
@@ -3,56 +3,58 @@
 namespace bilberrylead::agreement
 {
 
-handover::handover(replica_core& shared, leadership& lead)
-    : core(shared), office(lead)
+handover::handover(replica_core& shared, agreement::leadership& lead)
+    : core(shared), leadership(lead)
 {
 }
 
-void handover::on_handover_requested(host_id const& wanted)
+void handover::on_handover_requested(host_id const& requested_target)
 {
-    if (this->core.role() != role::leader || this->under_way())
+    if (this->core.role() != role::leader || this->is_in_progress())
     {
         return;
     }
     this->target = this->best_successor();
-    if (this->core.memberships.current().find(wanted) != nullptr &&
-        wanted != this->core.self)
+    if (this->core.memberships.current().find(requested_target) != nullptr &&
+        requested_target != this->core.self)
     {
-        this->target = wanted;
+        this->target = requested_target;
     }
-    this->until = this->core.now + this->core.settings.election_timeout;
-    this->told = false;
+    this->deadline = this->core.now + this->core.settings.election_timeout;
+    this->timeout_now_sent = false;
 }
 
-bool handover::under_way() const
+bool handover::is_in_progress() const
 {
     return !this->target.empty();
 }
 
-void handover::go_on()
+void handover::advance()
 {
-    if (!this->under_way())
+    if (!this->is_in_progress())
     {
         return;
     }
-    peer_progress const* const peer = this->office.members().find(this->target);
-    bool const hopeless = peer == nullptr || !peer->who.voter;
-    if (hopeless || this->core.now >= this->until)
+    peer_progress const* const peer =
+        this->leadership.other_members().find(this->target);
+    bool const target_lost = peer == nullptr || !peer->member.voter;
+    if (target_lost || this->core.now >= this->deadline)
     {
-        this->end();
+        this->cancel();
         return;
     }
-    if (!this->told && peer->match_index == this->core.log.last_index())
+    if (!this->timeout_now_sent &&
+        peer->match_index == this->core.log.last_index())
     {
         // The message may arrive at any later time and elects in spite of
         // the lease, so that the lease ends here.
-        this->told = true;
-        this->office.give_up_lease();
-        this->core.answer(this->target, timeout_now{});
+        this->timeout_now_sent = true;
+        this->leadership.release_lease();
+        this->core.send_after_sync(this->target, timeout_now{});
     }
 }
 
-void handover::end()
+void handover::cancel()
 {
     this->target = host_id();
 }
@@ -60,19 +62,19 @@
 host_id handover::best_successor() const
 {
     peer_progress const* best = nullptr;
-    for (peer_progress const& peer : this->office.members().all())
+    for (peer_progress const& peer : this->leadership.other_members().all())
     {
-        bool const alive = peer.answered_at.has_value() &&
-                           this->core.now - *peer.answered_at <
-                               this->core.settings.election_timeout;
-        bool const further =
+        bool const replied_recently = peer.last_reply_at.has_value() &&
+                                      this->core.now - *peer.last_reply_at <
+                                          this->core.settings.election_timeout;
+        bool const ahead_of_best =
             best == nullptr || peer.match_index > best->match_index;
-        if (peer.who.voter && alive && further)
+        if (peer.member.voter && replied_recently && ahead_of_best)
         {
             best = &peer;
         }
     }
-    return best == nullptr ? host_id() : best->who.host;
+    return best == nullptr ? host_id() : best->member.host;
 }
 
 } // namespace bilberrylead::agreement
--- a/bilberrylead/agreement/handover.hpp
+++ b/bilberrylead/agreement/handover.hpp
@@ -16,29 +16,29 @@
 {
 public:
     /// Works on the replica's shared state.
-    handover(replica_core& shared, leadership& lead);
+    handover(replica_core& shared, agreement::leadership& lead);
 
     /// Starts, if this replica leads and there is a successor.
-    void on_handover_requested(host_id const& wanted);
+    void on_handover_requested(host_id const& requested_target);
 
     /// True while proposals are turned away for it.
-    bool under_way() const;
+    bool is_in_progress() const;
 
     /// Tells the successor once it has the whole log; gives up when it
     /// took too long.
-    void go_on();
+    void advance();
 
     /// The office is lost, or the attempt given up.
-    void end();
+    void cancel();
 
 private:
     host_id best_successor() const;
 
     replica_core& core;
-    leadership& office;
+    agreement::leadership& leadership;
     host_id target;
-    instant until;
-    bool told = false;
+    instant deadline;
+    bool timeout_now_sent = false;
 };
 
 } // namespace bilberrylead::agreement
--- a/bilberrylead/agreement/leadership.cpp
+++ b/bilberrylead/agreement/leadership.cpp
@@ -16,15 +16,16 @@
 
 void leadership::begin()
 {
-    this->began_at = this->core.now;
-    this->first_index = this->core.log.last_index() + 1;
-    this->lease_given_up = false;
+    this->elected_at = this->core.now;
+    this->term_start_index = this->core.log.last_index() + 1;
+    this->lease_released = false;
     this->peers.clear();
-    this->peers.match(this->core.memberships.current(), this->core.self,
-                      this->first_index, this->core.now);
+    this->peers.update_members(this->core.memberships.current(),
+                               this->core.self, this->term_start_index,
+                               this->core.now);
     this->start_round();
     this->append(entry_kind::no_op, bytes());
-    this->beat_soon();
+    this->schedule_heartbeats();
 }
 
 void leadership::end()
@@ -39,15 +40,15 @@
 
 void leadership::check_quorum()
 {
-    instant const heard =
-        std::max(this->quorum_heard(this->core.now).value_or(this->began_at),
-                 this->began_at);
+    instant const acked = std::max(
+        this->quorum_acked_send_time(this->core.now).value_or(this->elected_at),
+        this->elected_at);
     bool const lost =
-        this->core.now - heard > this->core.settings.election_timeout;
-    if (lost && this->core.switches.quorum_check)
+        this->core.now - acked > this->core.settings.election_timeout;
+    if (lost && this->core.enabled_safeguards.quorum_check)
     {
         this->core.leader = host_id();
-        this->core.life.follow();
+        this->core.life_cycle.follow();
     }
 }
 
@@ -56,12 +57,12 @@
     log_entry next{this->core.hard_state.term, this->core.log.last_index() + 1,
                    kind, std::move(payload)};
     std::uint64_t const index = next.index;
-    this->core.out.write(append_entries{index, {next}});
+    this->core.effects.write(append_entries{index, {next}});
     if (kind == entry_kind::membership)
     {
         this->core.memberships.put(index, *decode_membership(next.payload));
-        this->peers.match(this->core.memberships.current(), this->core.self,
-                          index, this->core.now);
+        this->peers.update_members(this->core.memberships.current(),
+                                   this->core.self, index, this->core.now);
     }
     this->core.log.append(std::move(next));
     return index;
@@ -69,15 +70,15 @@
 
 void leadership::on_tick()
 {
-    if (this->core.now >= this->beat_due_at)
+    if (this->core.now >= this->heartbeats_due_at)
     {
-        this->beat_soon();
+        this->schedule_heartbeats();
     }
 }
 
-void leadership::beat_soon()
+void leadership::schedule_heartbeats()
 {
-    this->beat_due_at = this->core.now;
+    this->heartbeats_due_at = this->core.now;
 }
 
 void leadership::flush()
@@ -87,15 +88,15 @@
     {
         this->sender.send_entries(peer);
     }
-    if (this->core.now >= this->beat_due_at)
+    if (this->core.now >= this->heartbeats_due_at)
     {
-        this->beat();
+        this->send_heartbeats();
     }
 }
 
 void leadership::commit()
 {
-    std::uint64_t const reached = this->peers.quorum_match(
+    std::uint64_t const reached = this->peers.quorum_match_index(
         this->core.is_voter(), this->core.log.last_index());
     if (reached <= this->core.commit_index)
     {
@@ -106,7 +107,7 @@
     // by a leader whose last entry is younger; one of the own term cannot.
     bool const own_term =
         this->core.log.term_at(reached) == this->core.hard_state.term;
-    if (own_term || !this->core.switches.commit_own_term_only)
+    if (own_term || !this->core.enabled_safeguards.commit_own_term_only)
     {
         this->applier.commit_through(reached);
     }
@@ -117,37 +118,38 @@
     if (settled && !this->core.is_voter())
     {
         this->core.leader = host_id();
-        this->core.life.follow();
+        this->core.life_cycle.follow();
     }
 }
 
-void leadership::beat()
+void leadership::send_heartbeats()
 {
     for (peer_progress& peer : this->peers.all())
     {
         this->sender.send_heartbeat(peer);
     }
-    this->beat_due_at = this->core.now + this->core.settings.heartbeat_interval;
+    this->heartbeats_due_at =
+        this->core.now + this->core.settings.heartbeat_interval;
     this->rounds.forget_before(this->core.now -
                                2 * this->core.settings.election_timeout);
 }
 
-std::optional<instant> leadership::quorum_heard(instant now) const
+std::optional<instant> leadership::quorum_acked_send_time(instant now) const
 {
-    return this->peers.quorum_heard(this->core.is_voter(), now);
+    return this->peers.quorum_acked_send_time(this->core.is_voter(), now);
 }
 
-peer_progress* leadership::take_answer(host_id const& from,
-                                       std::uint64_t sender_incarnation,
-                                       std::uint64_t round)
+peer_progress* leadership::record_reply(host_id const& from,
+                                        std::uint64_t sender_incarnation,
+                                        std::uint64_t round)
 {
     peer_progress* const peer = this->peers.find(from);
     if (peer == nullptr)
     {
         return nullptr;
     }
-    if (peer->who.incarnation != sender_incarnation &&
-        this->core.switches.incarnation_check)
+    if (peer->member.incarnation != sender_incarnation &&
+        this->core.enabled_safeguards.incarnation_check)
     {
         // The host lost its disk: nothing that its former self held or
         // granted counts any more.
@@ -159,13 +161,13 @@
     if (sent_at.has_value() && round > peer->acked_round)
     {
         peer->acked_round = round;
-        peer->acked_at = sent_at;
+        peer->acked_send_time = sent_at;
     }
-    if (!this->core.switches.lease_from_send)
+    if (!this->core.enabled_safeguards.lease_from_send)
     {
-        peer->acked_at = this->core.now;
+        peer->acked_send_time = this->core.now;
     }
-    peer->answered_at = this->core.now;
+    peer->last_reply_at = this->core.now;
     return peer;
 }
 
@@ -174,14 +176,14 @@
                                  append_reply const& reply)
 {
     peer_progress* const peer =
-        this->take_answer(from, sender_incarnation, reply.round);
+        this->record_reply(from, sender_incarnation, reply.round);
     if (peer == nullptr || reply.match_index > this->core.log.last_index())
     {
         return;
     }
     if (!reply.success)
     {
-        this->on_rejected(*peer, reply);
+        this->on_append_rejected(*peer, reply);
         return;
     }
     peer->match_index = std::max(peer->match_index, reply.match_index);
@@ -194,12 +196,13 @@
     }
 }
 
-void leadership::on_rejected(peer_progress& peer, append_reply const& reply)
+void leadership::on_append_rejected(peer_progress& peer,
+                                    append_reply const& reply)
 {
     bool const stale = reply.rejected_index <= peer.match_index;
     bool const other =
         peer.probing && reply.rejected_index != peer.next_index - 1;
-    if (stale || other || peer.sending)
+    if (stale || other || peer.outgoing_snapshot)
     {
         return;
     }
@@ -215,9 +218,9 @@
                                            install_snapshot_reply const& reply)
 {
     peer_progress* const peer =
-        this->take_answer(from, sender_incarnation, reply.round);
-    if (peer == nullptr || !peer->sending ||
-        peer->sending->last_index != reply.last_index)
+        this->record_reply(from, sender_incarnation, reply.round);
+    if (peer == nullptr || !peer->outgoing_snapshot ||
+        peer->outgoing_snapshot->last_index != reply.last_index)
     {
         return;
     }
@@ -233,27 +236,27 @@
     }
     peer->match_index = std::max(peer->match_index, reply.last_index);
     peer->next_index = peer->match_index + 1;
-    peer->sending = nullptr;
+    peer->outgoing_snapshot = nullptr;
     peer->probing = false;
 }
 
-bool leadership::term_is_committed() const
+bool leadership::has_committed_in_term() const
 {
-    return this->core.commit_index >= this->first_index;
+    return this->core.commit_index >= this->term_start_index;
 }
 
 bool leadership::holds_lease(instant now) const
 {
-    std::optional<instant> const heard = this->quorum_heard(now);
+    std::optional<instant> const acked = this->quorum_acked_send_time(now);
     duration const lease =
         this->core.settings.election_timeout - this->core.settings.lease_margin;
-    return this->core.role() == role::leader && this->term_is_committed() &&
-           !this->lease_given_up && heard.has_value() && now - *heard < lease;
+    return this->core.role() == role::leader && this->has_committed_in_term() &&
+           !this->lease_released && acked.has_value() && now - *acked < lease;
 }
 
-void leadership::give_up_lease()
+void leadership::release_lease()
 {
-    this->lease_given_up = true;
+    this->lease_released = true;
 }
 
 std::uint64_t leadership::current_round() const
@@ -272,15 +275,15 @@
     std::uint64_t needed = std::numeric_limits<std::uint64_t>::max();
     for (peer_progress const& peer : this->peers.all())
     {
-        if (peer.sending)
+        if (peer.outgoing_snapshot)
         {
-            needed = std::min(needed, peer.sending->last_index);
+            needed = std::min(needed, peer.outgoing_snapshot->last_index);
         }
     }
     return needed;
 }
 
-peer_table& leadership::members()
+peer_table& leadership::other_members()
 {
     return this->peers;
 }
--- a/bilberrylead/agreement/leadership.hpp
+++ b/bilberrylead/agreement/leadership.hpp
@@ -44,7 +44,7 @@
     void on_tick();
 
     /// Makes the next flush send heartbeats.
-    void beat_soon();
+    void schedule_heartbeats();
 
     /// Commits what can be, and sends what members lack.
     void flush();
@@ -59,13 +59,13 @@
 
     /// True once an entry of the own term is committed: only then does the
     /// commit index include everything that earlier leaders committed.
-    bool term_is_committed() const;
+    bool has_committed_in_term() const;
 
     /// True while no other leader can have been elected.
     bool holds_lease(instant now) const;
 
     /// No lease any more in this term: a handover may be under way.
-    void give_up_lease();
+    void release_lease();
 
     /// The round at work.
     std::uint64_t current_round() const;
@@ -77,32 +77,32 @@
     std::uint64_t needed_index() const;
 
     /// When this replica was elected.
-    instant took_office_at() const
+    instant leader_since() const
     {
-        return this->began_at;
+        return this->elected_at;
     }
 
     /// Members other than self.
-    peer_table& members();
+    peer_table& other_members();
 
 private:
-    peer_progress* take_answer(host_id const& from,
-                               std::uint64_t sender_incarnation,
-                               std::uint64_t round);
-    void on_rejected(peer_progress& peer, append_reply const& reply);
+    peer_progress* record_reply(host_id const& from,
+                                std::uint64_t sender_incarnation,
+                                std::uint64_t round);
+    void on_append_rejected(peer_progress& peer, append_reply const& reply);
     void commit();
-    void beat();
-    std::optional<instant> quorum_heard(instant now) const;
+    void send_heartbeats();
+    std::optional<instant> quorum_acked_send_time(instant now) const;
 
     replica_core& core;
     log_applier& applier;
     send_rounds rounds;
     append_sender sender;
     peer_table peers;
-    instant began_at;
-    instant beat_due_at;
-    std::uint64_t first_index = 0;
-    bool lease_given_up = false;
+    instant elected_at;
+    instant heartbeats_due_at;
+    std::uint64_t term_start_index = 0;
+    bool lease_released = false;
 };
 
 } // namespace bilberrylead::agreement
--- a/bilberrylead/agreement/log_applier.cpp
+++ b/bilberrylead/agreement/log_applier.cpp
@@ -5,7 +5,7 @@
 namespace bilberrylead::agreement
 {
 
-log_applier::log_applier(replica_core& shared, open_proposals& waiting)
+log_applier::log_applier(replica_core& shared, pending_proposals& waiting)
     : core(shared), proposals(waiting)
 {
 }
@@ -15,27 +15,30 @@
     while (this->core.commit_index < index)
     {
         ++this->core.commit_index;
-        this->core.out.add(apply{this->core.log.at(this->core.commit_index)});
-        this->proposals.committed(this->core.commit_index);
+        this->core.effects.add(
+            apply{this->core.log.at(this->core.commit_index)});
+        this->proposals.on_committed(this->core.commit_index);
     }
-    this->ask_for_snapshot();
+    this->request_snapshot_if_due();
 }
 
-void log_applier::ask_for_snapshot()
+void log_applier::request_snapshot_if_due()
 {
     std::uint64_t const covered =
         this->core.latest_snapshot ? this->core.latest_snapshot->last_index : 0;
 
     // Also counted from the last question: a state too large to be kept
     // must not be encoded again with every entry.
-    std::uint64_t const from = std::max(covered, this->asked_at_index);
-    bool const due = this->core.commit_index >=
-                     from + this->core.settings.snapshot_threshold;
-    if (due && !this->snapshot_asked)
+    std::uint64_t const last_request_index =
+        std::max(covered, this->snapshot_requested_at_index);
+    bool const due =
+        this->core.commit_index >=
+        last_request_index + this->core.settings.snapshot_threshold;
+    if (due && !this->snapshot_requested)
     {
-        this->snapshot_asked = true;
-        this->asked_at_index = this->core.commit_index;
-        this->core.out.add(take_snapshot{this->core.commit_index});
+        this->snapshot_requested = true;
+        this->snapshot_requested_at_index = this->core.commit_index;
+        this->core.effects.add(take_snapshot{this->core.commit_index});
     }
 }
 
@@ -59,9 +62,9 @@
     }
     this->core.latest_snapshot = received;
     this->core.commit_index = index;
-    this->core.out.write(persist_snapshot{*received, !agrees});
-    this->core.out.add(restore{*received});
-    this->snapshot_asked = false;
+    this->core.effects.write(persist_snapshot{*received, !agrees});
+    this->core.effects.add(restore{*received});
+    this->snapshot_requested = false;
 }
 
 void log_applier::on_snapshot_taken(snapshot_taken const& taken,
@@ -72,7 +75,7 @@
         taken.index > log.base_index() &&
         taken.index <= this->core.commit_index &&
         taken.state.size() <= this->core.settings.max_snapshot_bytes;
-    this->snapshot_asked = false;
+    this->snapshot_requested = false;
     if (!usable)
     {
         return;
@@ -80,22 +83,24 @@
     this->core.latest_snapshot = std::make_shared<snapshot const>(
         snapshot{taken.index, log.at(taken.index).term,
                  this->core.memberships.at(taken.index), taken.state});
-    this->core.out.write(persist_snapshot{*this->core.latest_snapshot, false});
+    this->core.effects.write(
+        persist_snapshot{*this->core.latest_snapshot, false});
 
     // A member that is a little late, or takes in a snapshot just now,
     // goes on from the log; without a bound it could fill the memory.
     replica_settings const& bounds = this->core.settings;
-    std::uint64_t const spared =
+    std::uint64_t const retained_from =
         taken.index - std::min(taken.index, bounds.kept_entries);
-    std::uint64_t const longest = 4 * bounds.snapshot_threshold;
-    std::uint64_t const oldest = taken.index - std::min(taken.index, longest);
+    std::uint64_t const max_log_length = 4 * bounds.snapshot_threshold;
+    std::uint64_t const oldest =
+        taken.index - std::min(taken.index, max_log_length);
     std::uint64_t const through =
-        std::max(oldest, std::min(spared, needed_index));
+        std::max(oldest, std::min(retained_from, needed_index));
     if (through > log.base_index())
     {
         log.drop_through(through);
         this->core.memberships.drop_before(through);
-        this->core.out.add(drop_log_prefix{through});
+        this->core.effects.add(drop_log_prefix{through});
     }
 }
 
--- a/bilberrylead/agreement/log_applier.hpp
+++ b/bilberrylead/agreement/log_applier.hpp
@@ -2,7 +2,7 @@
 #define BILBERRYLEAD_AGREEMENT_LOG_APPLIER_HPP
 
 #include "bilberrylead/agreement/events/snapshot_taken.hpp"
-#include "bilberrylead/agreement/open_proposals.hpp"
+#include "bilberrylead/agreement/pending_proposals.hpp"
 #include "bilberrylead/agreement/replica_core.hpp"
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 {
 public:
     /// Works on the replica's shared state.
-    log_applier(replica_core& shared, open_proposals& waiting);
+    log_applier(replica_core& shared, pending_proposals& waiting);
 
     /// Raises the commit index, if it is behind, and applies.
     void commit_through(std::uint64_t index);
@@ -30,12 +30,12 @@
                            std::uint64_t needed_index);
 
 private:
-    void ask_for_snapshot();
+    void request_snapshot_if_due();
 
     replica_core& core;
-    open_proposals& proposals;
-    bool snapshot_asked = false;
-    std::uint64_t asked_at_index = 0;
+    pending_proposals& proposals;
+    bool snapshot_requested = false;
+    std::uint64_t snapshot_requested_at_index = 0;
 };
 
 } // namespace bilberrylead::agreement
--- a/bilberrylead/agreement/member_state.hpp
+++ b/bilberrylead/agreement/member_state.hpp
@@ -11,10 +11,10 @@
 struct member_state
 {
     /// The member, in the incarnation that counts.
-    member who;
+    agreement::member member;
     /// Time since its last answer, or since this leader took office if it
     /// has not answered yet. Zero for the leader itself.
-    duration silent_for{};
+    duration time_since_reply{};
     /// True if it holds nearly the whole log, so that it could vote at once.
     bool caught_up = false;
 };
--- a/bilberrylead/agreement/membership_changer.cpp
+++ b/bilberrylead/agreement/membership_changer.cpp
@@ -12,16 +12,17 @@
 {
 
 /// The membership after an operator's change; nothing if it makes no sense.
-std::optional<membership> changed(membership const& before,
-                                  membership_change_requested const& request)
+std::optional<membership>
+membership_after(membership const& before,
+                 membership_change_requested const& request)
 {
     membership after = before;
     member const* const listed = before.find(request.host);
     if (request.action == membership_action::remove)
     {
         after.remove(request.host);
-        bool const sensible = listed != nullptr && after.voters() > 0;
-        return sensible ? std::optional(after) : std::nullopt;
+        bool const valid = listed != nullptr && after.voters() > 0;
+        return valid ? std::optional(after) : std::nullopt;
     }
 
     bool const wants_vote = request.action == membership_action::add_voter;
@@ -44,9 +45,10 @@
 
 } // namespace
 
-membership_changer::membership_changer(replica_core& shared, leadership& lead,
-                                       open_proposals& waiting)
-    : core(shared), office(lead), proposals(waiting)
+membership_changer::membership_changer(replica_core& shared,
+                                       agreement::leadership& lead,
+                                       pending_proposals& waiting)
+    : core(shared), leadership(lead), proposals(waiting)
 {
 }
 
@@ -55,31 +57,31 @@
 {
     if (this->core.role() != role::leader)
     {
-        this->core.out.add(proposal_refused{request.token, refusal::not_leader,
-                                            this->core.leader});
+        this->core.effects.add(proposal_refused{
+            request.token, refusal::not_leader, this->core.leader});
         return;
     }
-    if (!this->is_settled())
+    if (!this->can_start_change())
     {
-        this->core.out.add(proposal_refused{
+        this->core.effects.add(proposal_refused{
             request.token, refusal::change_in_progress, this->core.self});
         return;
     }
     std::optional<membership> const next =
-        changed(this->core.memberships.current(), request);
+        membership_after(this->core.memberships.current(), request);
     if (!next.has_value())
     {
-        this->core.out.add(proposal_refused{request.token, refusal::bad_change,
-                                            this->core.self});
+        this->core.effects.add(proposal_refused{
+            request.token, refusal::bad_change, this->core.self});
         return;
     }
-    if (!this->keeps_quorum(*next))
+    if (!this->has_live_quorum(*next))
     {
-        this->core.out.add(proposal_refused{
+        this->core.effects.add(proposal_refused{
             request.token, refusal::would_lose_quorum, this->core.self});
         return;
     }
-    this->start(*next, request.token);
+    this->append_change(*next, request.token);
 }
 
 std::vector<member_state> membership_changer::members(instant now) const
@@ -96,14 +98,17 @@
             states.push_back({one, duration::zero(), true});
             continue;
         }
-        peer_progress const* const peer = this->office.members().find(one.host);
+        peer_progress const* const peer =
+            this->leadership.other_members().find(one.host);
         if (peer == nullptr)
         {
-            states.push_back({one, now - this->office.took_office_at(), false});
+            states.push_back(
+                {one, now - this->leadership.leader_since(), false});
             continue;
         }
-        instant const heard = peer->answered_at.value_or(peer->listed_at);
-        states.push_back({one, std::max(now - heard, duration::zero()),
+        instant const last_contact =
+            peer->last_reply_at.value_or(peer->listed_at);
+        states.push_back({one, std::max(now - last_contact, duration::zero()),
                           this->has_caught_up(*peer)});
     }
     return states;
@@ -112,32 +117,32 @@
 /// A change on top of one that is not committed, or that a leader makes
 /// before anything of its term is committed, could leave two quorums
 /// without a common voter: two leaders would commit different entries.
-bool membership_changer::is_settled() const
+bool membership_changer::can_start_change() const
 {
-    if (!this->core.switches.one_change_at_a_time)
+    if (!this->core.enabled_safeguards.one_change_at_a_time)
     {
         return true;
     }
-    return this->office.term_is_committed() &&
+    return this->leadership.has_committed_in_term() &&
            this->core.memberships.current_index() <= this->core.commit_index;
 }
 
-void membership_changer::start(membership const& next,
-                               std::optional<std::uint64_t> token)
+void membership_changer::append_change(membership const& next,
+                                       std::optional<std::uint64_t> token)
 {
     bytes payload = encode_membership(next);
     std::size_t const size = payload.size();
     std::uint64_t const index =
-        this->office.append(entry_kind::membership, std::move(payload));
+        this->leadership.append(entry_kind::membership, std::move(payload));
     if (token.has_value())
     {
-        this->proposals.opened(index, *token, size);
+        this->proposals.add(index, *token, size);
     }
 }
 
 void membership_changer::on_tick()
 {
-    if (this->is_settled() && !this->take_back_blank_host())
+    if (this->can_start_change() && !this->readmit_wiped_host())
     {
         this->promote_learner();
     }
@@ -145,20 +150,20 @@
 
 /// Its vote goes first and comes back once it caught up: two steps, since
 /// one step would change two voters at once.
-bool membership_changer::take_back_blank_host()
+bool membership_changer::readmit_wiped_host()
 {
-    for (peer_progress const& peer : this->office.members().all())
+    for (peer_progress const& peer : this->leadership.other_members().all())
     {
-        if (peer.newer_incarnation <= peer.who.incarnation)
+        if (peer.newer_incarnation <= peer.member.incarnation)
         {
             continue;
         }
         membership next = this->core.memberships.current();
-        next.put(member{peer.who.host, peer.newer_incarnation, false,
-                        peer.who.voter || peer.who.voter_when_caught_up});
-        if (next.voters() > 0 && this->keeps_quorum(next))
+        next.put(member{peer.member.host, peer.newer_incarnation, false,
+                        peer.member.voter || peer.member.voter_when_caught_up});
+        if (next.voters() > 0 && this->has_live_quorum(next))
         {
-            this->start(next, std::nullopt);
+            this->append_change(next, std::nullopt);
             return true;
         }
     }
@@ -167,13 +172,14 @@
 
 void membership_changer::promote_learner()
 {
-    for (peer_progress const& peer : this->office.members().all())
+    for (peer_progress const& peer : this->leadership.other_members().all())
     {
-        if (peer.who.voter_when_caught_up && this->has_caught_up(peer))
+        if (peer.member.voter_when_caught_up && this->has_caught_up(peer))
         {
             membership next = this->core.memberships.current();
-            next.put(member{peer.who.host, peer.who.incarnation, true, false});
-            this->start(next, std::nullopt);
+            next.put(
+                member{peer.member.host, peer.member.incarnation, true, false});
+            this->append_change(next, std::nullopt);
             return;
         }
     }
@@ -181,29 +187,31 @@
 
 /// A change takes effect before it is committed. One that needs a voter
 /// which is down would stop the group, and could not be taken back.
-bool membership_changer::keeps_quorum(membership const& next) const
+bool membership_changer::has_live_quorum(membership const& next) const
 {
-    std::size_t answering = 0;
+    std::size_t live_voters = 0;
     for (member const& one : next.members)
     {
-        peer_progress const* const peer = this->office.members().find(one.host);
-        bool const here = one.host == this->core.self ||
-                          (peer != nullptr && this->answers(*peer));
-        answering += one.voter && here ? 1 : 0;
+        peer_progress const* const peer =
+            this->leadership.other_members().find(one.host);
+        bool const live = one.host == this->core.self ||
+                          (peer != nullptr && this->acked_recently(*peer));
+        live_voters += one.voter && live ? 1 : 0;
     }
-    return answering >= next.quorum();
+    return live_voters >= next.quorum();
 }
 
-bool membership_changer::answers(peer_progress const& peer) const
+bool membership_changer::acked_recently(peer_progress const& peer) const
 {
-    return peer.acked_at.has_value() &&
-           this->core.now - *peer.acked_at <
+    return peer.acked_send_time.has_value() &&
+           this->core.now - *peer.acked_send_time <
                this->core.settings.election_timeout;
 }
 
 bool membership_changer::has_caught_up(peer_progress const& peer) const
 {
-    return this->answers(peer) && !peer.sending && peer.match_index > 0 &&
+    return this->acked_recently(peer) && !peer.outgoing_snapshot &&
+           peer.match_index > 0 &&
            peer.match_index + this->core.settings.caught_up_entries >=
                this->core.log.last_index();
 }
--- a/bilberrylead/agreement/membership_changer.hpp
+++ b/bilberrylead/agreement/membership_changer.hpp
@@ -4,7 +4,7 @@
 #include "bilberrylead/agreement/events/membership_change_requested.hpp"
 #include "bilberrylead/agreement/leadership.hpp"
 #include "bilberrylead/agreement/member_state.hpp"
-#include "bilberrylead/agreement/open_proposals.hpp"
+#include "bilberrylead/agreement/pending_proposals.hpp"
 #include "bilberrylead/agreement/replica_core.hpp"
 
 #include <optional>
@@ -20,8 +20,8 @@
 {
 public:
     /// Works on the replica's shared state.
-    membership_changer(replica_core& shared, leadership& lead,
-                       open_proposals& waiting);
+    membership_changer(replica_core& shared, agreement::leadership& lead,
+                       pending_proposals& waiting);
 
     /// An operator's change.
     void on_change_requested(membership_change_requested const& request);
@@ -34,17 +34,18 @@
     std::vector<member_state> members(instant now) const;
 
 private:
-    bool is_settled() const;
-    void start(membership const& next, std::optional<std::uint64_t> token);
-    bool take_back_blank_host();
+    bool can_start_change() const;
+    void append_change(membership const& next,
+                       std::optional<std::uint64_t> token);
+    bool readmit_wiped_host();
     void promote_learner();
-    bool keeps_quorum(membership const& next) const;
-    bool answers(peer_progress const& peer) const;
+    bool has_live_quorum(membership const& next) const;
+    bool acked_recently(peer_progress const& peer) const;
     bool has_caught_up(peer_progress const& peer) const;
 
     replica_core& core;
-    leadership& office;
-    open_proposals& proposals;
+    agreement::leadership& leadership;
+    pending_proposals& proposals;
 };
 
 } // namespace bilberrylead::agreement
--- a/bilberrylead/agreement/peer_progress.hpp
+++ b/bilberrylead/agreement/peer_progress.hpp
@@ -16,7 +16,7 @@
 struct peer_progress
 {
     /// The member, in the incarnation that counts.
-    member who;
+    agreement::member member;
     /// Index of the next entry to send.
     std::uint64_t next_index = 1;
     /// Last index that is known to agree, durably.
@@ -27,13 +27,13 @@
     /// Latest round it answered; 0 if none.
     std::uint64_t acked_round = 0;
     /// When that round was sent.
-    std::optional<instant> acked_at;
+    std::optional<instant> acked_send_time;
     /// When this leader first counted it among the members.
     instant listed_at;
     /// When its last answer arrived.
-    std::optional<instant> answered_at;
+    std::optional<instant> last_reply_at;
     /// The snapshot under way to it, if any.
-    std::shared_ptr<snapshot const> sending;
+    std::shared_ptr<snapshot const> outgoing_snapshot;
     /// How much of it has arrived, in bytes.
     std::uint64_t snapshot_offset = 0;
     /// When the last chunk was sent.
--- a/bilberrylead/agreement/peer_table.cpp
+++ b/bilberrylead/agreement/peer_table.cpp
@@ -10,16 +10,16 @@
 {
 
 /// What a quorum has reached of a value that each voter has reached.
-template <class Value, class Reached>
-Value quorum_of(std::vector<peer_progress> const& rows, bool self_votes,
-                Value const& own, Reached reached)
+template <class Value, class Projection>
+Value quorum_value(std::vector<peer_progress> const& rows, bool self_votes,
+                   Value const& own, Projection value_of_peer)
 {
     std::vector<Value> values;
     for (peer_progress const& peer : rows)
     {
-        if (peer.who.voter)
+        if (peer.member.voter)
         {
-            values.push_back(reached(peer));
+            values.push_back(value_of_peer(peer));
         }
     }
     if (self_votes)
@@ -41,11 +41,11 @@
     this->rows.clear();
 }
 
-void peer_table::match(membership const& now_in_force, host_id const& self,
-                       std::uint64_t next_index, instant now)
+void peer_table::update_members(membership const& current, host_id const& self,
+                                std::uint64_t next_index, instant now)
 {
     std::vector<peer_progress> next;
-    for (member const& one : now_in_force.members)
+    for (member const& one : current.members)
     {
         if (one.host == self)
         {
@@ -53,7 +53,7 @@
         }
         peer_progress row;
         peer_progress const* const known = this->find(one.host);
-        if (known != nullptr && known->who.incarnation == one.incarnation)
+        if (known != nullptr && known->member.incarnation == one.incarnation)
         {
             row = *known;
         }
@@ -62,7 +62,7 @@
             row.listed_at = now;
             row.next_index = next_index;
         }
-        row.who = one;
+        row.member = one;
         next.push_back(std::move(row));
     }
     this->rows.swap(next);
@@ -73,7 +73,7 @@
     auto const found = std::ranges::find_if(this->rows,
                                             [&host](peer_progress const& one)
                                             {
-                                                return one.who.host == host;
+                                                return one.member.host == host;
                                             });
     return found == this->rows.end() ? nullptr : &*found;
 }
@@ -88,32 +88,33 @@
     return this->rows;
 }
 
-std::uint64_t peer_table::quorum_match(bool self_votes, std::uint64_t own) const
+std::uint64_t peer_table::quorum_match_index(bool self_votes,
+                                             std::uint64_t own) const
 {
-    return quorum_of(this->rows, self_votes, own,
-                     [](peer_progress const& one)
-                     {
-                         return one.match_index;
-                     });
+    return quorum_value(this->rows, self_votes, own,
+                        [](peer_progress const& one)
+                        {
+                            return one.match_index;
+                        });
 }
 
 std::uint64_t peer_table::quorum_round(bool self_votes, std::uint64_t own) const
 {
-    return quorum_of(this->rows, self_votes, own,
-                     [](peer_progress const& one)
-                     {
-                         return one.acked_round;
-                     });
+    return quorum_value(this->rows, self_votes, own,
+                        [](peer_progress const& one)
+                        {
+                            return one.acked_round;
+                        });
 }
 
-std::optional<instant> peer_table::quorum_heard(bool self_votes,
-                                                instant own) const
+std::optional<instant> peer_table::quorum_acked_send_time(bool self_votes,
+                                                          instant own) const
 {
-    return quorum_of(this->rows, self_votes, std::optional<instant>(own),
-                     [](peer_progress const& one)
-                     {
-                         return one.acked_at;
-                     });
+    return quorum_value(this->rows, self_votes, std::optional<instant>(own),
+                        [](peer_progress const& one)
+                        {
+                            return one.acked_send_time;
+                        });
 }
 
 } // namespace bilberrylead::agreement
--- a/bilberrylead/agreement/peer_table.hpp
+++ b/bilberrylead/agreement/peer_table.hpp
@@ -22,8 +22,8 @@
 
     /// Brings the rows in line with a membership; a new incarnation is a
     /// new row, which starts at `next_index` and is listed since `now`.
-    void match(membership const& now_in_force, host_id const& self,
-               std::uint64_t next_index, instant now);
+    void update_members(membership const& current, host_id const& self,
+                        std::uint64_t next_index, instant now);
 
     /// The row of a host, or nullptr.
     peer_progress* find(host_id const& host);
@@ -34,14 +34,15 @@
     std::vector<peer_progress> const& all() const;
 
     /// Highest index that a quorum holds; `own` counts if self votes.
-    std::uint64_t quorum_match(bool self_votes, std::uint64_t own) const;
+    std::uint64_t quorum_match_index(bool self_votes, std::uint64_t own) const;
 
     /// Latest round that a quorum answered; `own` counts if self votes.
     std::uint64_t quorum_round(bool self_votes, std::uint64_t own) const;
 
     /// Latest time such that a quorum answered a message sent then or
     /// later; nothing if a quorum has not answered yet.
-    std::optional<instant> quorum_heard(bool self_votes, instant own) const;
+    std::optional<instant> quorum_acked_send_time(bool self_votes,
+                                                  instant own) const;
 
 private:
     std::vector<peer_progress> rows;
--- a/bilberrylead/agreement/open_proposals.hpp
+++ b/bilberrylead/agreement/pending_proposals.hpp
@@ -1,5 +1,5 @@
-#ifndef BILBERRYLEAD_AGREEMENT_OPEN_PROPOSALS_HPP
-#define BILBERRYLEAD_AGREEMENT_OPEN_PROPOSALS_HPP
+#ifndef BILBERRYLEAD_AGREEMENT_PENDING_PROPOSALS_HPP
+#define BILBERRYLEAD_AGREEMENT_PENDING_PROPOSALS_HPP
 
 #include "bilberrylead/agreement/replica_core.hpp"
 
@@ -11,24 +11,24 @@
 {
 
 /// A leader's proposals that are not committed yet, in order of index.
-class open_proposals
+class pending_proposals
 {
 public:
     /// Works on the replica's shared state.
-    explicit open_proposals(replica_core& shared);
+    explicit pending_proposals(replica_core& shared);
 
     /// True if one more of this size would pass a bound.
-    bool full(std::size_t payload_bytes) const;
+    bool would_exceed_limits(std::size_t payload_bytes) const;
 
     /// Remembers who asked for an entry.
-    void opened(std::uint64_t index, std::uint64_t token,
-                std::size_t payload_bytes);
+    void add(std::uint64_t index, std::uint64_t token,
+             std::size_t payload_bytes);
 
     /// Answers for an entry that is committed, if somebody asked for it.
-    void committed(std::uint64_t index);
+    void on_committed(std::uint64_t index);
 
     /// The office is lost: nobody can say now what becomes of them.
-    void give_up();
+    void abandon_all();
 
 private:
     struct row
@@ -39,7 +39,7 @@
     };
     replica_core& core;
     std::deque<row> rows;
-    std::size_t open_bytes = 0;
+    std::size_t pending_bytes = 0;
 };
 
 } // namespace bilberrylead::agreement
--- a/bilberrylead/agreement/read_queue.hpp
+++ b/bilberrylead/agreement/read_queue.hpp
@@ -17,7 +17,7 @@
 {
 public:
     /// Works on the replica's shared state.
-    read_queue(replica_core& shared, leadership& lead);
+    read_queue(replica_core& shared, agreement::leadership& lead);
 
     /// Answers at once, or queues.
     void on_read_requested(std::uint64_t token);
@@ -35,7 +35,7 @@
         std::uint64_t round = 0;
     };
     replica_core& core;
-    leadership& office;
+    agreement::leadership& leadership;
     std::deque<row> rows;
 };
 
--- a/bilberrylead/agreement/record_reader.cpp
+++ b/bilberrylead/agreement/record_reader.cpp
@@ -17,14 +17,14 @@
 } // namespace
 
 record_reader::record_reader(nlohmann::json const& record)
-    : whole(record), first_error(own_error)
+    : source(record), first_error(own_error)
 {
     this->check_object();
 }
 
 record_reader::record_reader(nlohmann::json const& record,
                              record_reader const& outer)
-    : whole(record), first_error(outer.first_error)
+    : source(record), first_error(outer.first_error)
 {
     this->check_object();
 }
@@ -36,7 +36,7 @@
 
 void record_reader::check_object()
 {
-    if (!this->whole.is_object())
+    if (!this->source.is_object())
     {
         this->fail(error_kind::bad_value, "A record is not a map.");
     }
@@ -48,8 +48,8 @@
     {
         return nullptr;
     }
-    auto const found = this->whole.find(name);
-    if (found == this->whole.end())
+    auto const found = this->source.find(name);
+    if (found == this->source.end())
     {
         this->fail(error_kind::missing_field,
                    fmt::format("The field {} is missing.", name));
@@ -67,15 +67,15 @@
     }
     if (!value->is_number_unsigned())
     {
-        this->wrong_type(name, "a whole number from 0");
+        this->fail_type(name, "a whole number from 0");
         return 0;
     }
     return value->get<std::uint64_t>();
 }
 
-std::uint64_t record_reader::number_or(char const* name, std::uint64_t missing)
+std::uint64_t record_reader::number_or(char const* name, std::uint64_t fallback)
 {
-    return this->whole.contains(name) ? this->number(name) : missing;
+    return this->source.contains(name) ? this->number(name) : fallback;
 }
 
 bool record_reader::flag(char const* name)
@@ -87,7 +87,7 @@
     }
     if (!value->is_boolean())
     {
-        this->wrong_type(name, "true or false");
+        this->fail_type(name, "true or false");
         return false;
     }
     return value->get<bool>();
@@ -102,7 +102,7 @@
     }
     if (!value->is_string())
     {
-        this->wrong_type(name, "a text");
+        this->fail_type(name, "a text");
         return {};
     }
     return value->get<std::string>();
@@ -117,7 +117,7 @@
     }
     if (!value->is_binary())
     {
-        this->wrong_type(name, "a byte string");
+        this->fail_type(name, "a byte string");
         return {};
     }
     return value->get_binary();
@@ -126,7 +126,7 @@
 nlohmann::json const& record_reader::record(char const* name)
 {
     nlohmann::json const* const value = this->field(name);
-    return value == nullptr ? this->whole : *value;
+    return value == nullptr ? this->source : *value;
 }
 
 nlohmann::json const& record_reader::list(char const* name)
@@ -139,24 +139,24 @@
     }
     if (!value->is_array())
     {
-        this->wrong_type(name, "a list");
+        this->fail_type(name, "a list");
         return empty;
     }
     return *value;
 }
 
-void record_reader::fail(error_kind kind, std::string_view what)
+void record_reader::fail(error_kind kind, std::string_view message)
 {
     if (this->first_error.ok())
     {
-        this->first_error = make_error(kind, what, same_version);
+        this->first_error = make_error(kind, message, same_version);
     }
 }
 
-void record_reader::wrong_type(char const* name, char const* wanted)
+void record_reader::fail_type(char const* name, char const* expected)
 {
     this->fail(error_kind::bad_value,
-               fmt::format("The field {} must be {}.", name, wanted));
+               fmt::format("The field {} must be {}.", name, expected));
 }
 
 } // namespace bilberrylead::agreement
--- a/bilberrylead/agreement/record_reader.hpp
+++ b/bilberrylead/agreement/record_reader.hpp
@@ -34,7 +34,7 @@
     /// A whole number from 0.
     std::uint64_t number(char const* name);
     /// A whole number from 0, or `missing` if there is no such field.
-    std::uint64_t number_or(char const* name, std::uint64_t missing);
+    std::uint64_t number_or(char const* name, std::uint64_t fallback);
     /// True or false.
     bool flag(char const* name);
     /// A text.
@@ -47,14 +47,14 @@
     nlohmann::json const& list(char const* name);
 
     /// Notes an error, unless there was one before.
-    void fail(error_kind kind, std::string_view what);
+    void fail(error_kind kind, std::string_view message);
 
 private:
     void check_object();
     nlohmann::json const* field(char const* name);
-    void wrong_type(char const* name, char const* wanted);
+    void fail_type(char const* name, char const* expected);
 
-    nlohmann::json const& whole;
+    nlohmann::json const& source;
     absl::Status own_error;
     absl::Status& first_error;
 };
--- a/bilberrylead/agreement/replica.cpp
+++ b/bilberrylead/agreement/replica.cpp
@@ -7,27 +7,27 @@
 
 replica::replica(host_id const& self, std::uint64_t incarnation,
                  replica_settings const& settings, std::uint64_t seed,
-                 safeguards const& switches)
+                 safeguards const& enabled_safeguards)
     : parts(std::make_unique<replica_parts>(self, incarnation, settings, seed,
-                                            switches))
+                                            enabled_safeguards))
 {
 }
 
 replica::~replica() = default;
 
-std::vector<effect> replica::reduce(event const& what, instant now)
+std::vector<effect> replica::reduce(event const& event, instant now)
 {
-    return this->reduce(std::span<event const>(&what, 1), now);
+    return this->reduce(std::span<agreement::event const>(&event, 1), now);
 }
 
 std::vector<effect> replica::reduce(std::span<event const> events, instant now)
 {
-    this->parts->begin(now);
-    for (event const& what : events)
+    this->parts->begin_call(now);
+    for (event const& next : events)
     {
-        this->parts->take(what);
+        this->parts->process(next);
     }
-    return this->parts->finish();
+    return this->parts->finish_call();
 }
 
 agreement::role replica::role() const
@@ -62,12 +62,12 @@
 
 std::vector<member_state> replica::members(instant now) const
 {
-    return this->parts->changes.members(now);
+    return this->parts->membership_changes.members(now);
 }
 
 bool replica::holds_lease(instant now) const
 {
-    return this->parts->office.holds_lease(now);
+    return this->parts->leadership.holds_lease(now);
 }
 
 } // namespace bilberrylead::agreement
--- a/bilberrylead/agreement/replica.hpp
+++ b/bilberrylead/agreement/replica.hpp
@@ -30,7 +30,7 @@
     /// founders); `seed` spreads election timeouts and differs by host.
     replica(host_id const& self, std::uint64_t incarnation,
             replica_settings const& settings, std::uint64_t seed,
-            safeguards const& switches = {});
+            safeguards const& enabled_safeguards = {});
     ~replica();
     replica(replica const&) = delete;
     replica& operator=(replica const&) = delete;
@@ -38,7 +38,7 @@
     replica& operator=(replica&&) = delete;
 
     /// Takes one event. `now` never goes back. The first event is started.
-    std::vector<effect> reduce(event const& what, instant now);
+    std::vector<effect> reduce(event const& event, instant now);
 
     /// Takes several events at once: their writes share one sync. Same
     /// outcome as one by one, in fewer syncs under load.
--- a/bilberrylead/agreement/replica_core.cpp
+++ b/bilberrylead/agreement/replica_core.cpp
@@ -6,22 +6,22 @@
 {
 
 replica_core::replica_core(host_id const& own_id, std::uint64_t own_incarnation,
-                           replica_settings const& pace, std::uint64_t seed,
-                           safeguards const& kept)
-    : self(own_id), incarnation(own_incarnation), settings(pace),
-      switches(kept), random(seed)
+                           replica_settings const& own_settings,
+                           std::uint64_t seed, safeguards const& enabled)
+    : self(own_id), incarnation(own_incarnation), settings(own_settings),
+      enabled_safeguards(enabled), random(seed)
 {
 }
 
 agreement::role replica_core::role() const
 {
-    return this->life.current();
+    return this->life_cycle.current();
 }
 
 bool replica_core::is_voter() const
 {
-    return this->counts_vote(this->memberships.current(), this->self,
-                             this->incarnation);
+    return this->is_counted_voter(this->memberships.current(), this->self,
+                                  this->incarnation);
 }
 
 /// A host that an uncommitted change takes out may be the only one with
@@ -43,21 +43,22 @@
     {
         this->set_hard_state(term, host_id());
         this->leader = host_id();
-        this->life.follow();
+        this->life_cycle.follow();
     }
 }
 
 void replica_core::set_hard_state(std::uint64_t term, host_id const& voted_for)
 {
     this->hard_state = {term, voted_for, this->commit_index};
-    this->commit_noted_at = this->now;
-    this->out.write(persist_hard_state{this->hard_state});
+    this->commit_index_recorded_at = this->now;
+    this->effects.write(persist_hard_state{this->hard_state});
 }
 
-void replica_core::note_commit()
+void replica_core::record_commit_index()
 {
     if (this->commit_index > this->hard_state.committed &&
-        this->now - this->commit_noted_at >= this->settings.commit_note_pause)
+        this->now - this->commit_index_recorded_at >=
+            this->settings.commit_index_persist_interval)
     {
         this->set_hard_state(this->hard_state.term, this->hard_state.voted_for);
     }
@@ -68,38 +69,39 @@
     return {this->hard_state.term, this->incarnation, std::move(body)};
 }
 
-void replica_core::answer(host_id const& to, message_body body,
-                          bool durable_first)
+void replica_core::send_after_sync(host_id const& to, message_body body,
+                                   bool wait_for_sync)
 {
     send next{to, this->make_message(std::move(body))};
-    if (durable_first)
+    if (wait_for_sync)
     {
-        this->out.add(std::move(next));
+        this->effects.add(std::move(next));
     }
     else
     {
-        this->out.add_before_writes(std::move(next));
+        this->effects.add_before_writes(std::move(next));
     }
 }
 
-void replica_core::match_role_to_membership()
+void replica_core::update_role_from_membership()
 {
     if (this->may_lead())
     {
-        this->life.join_voters();
+        this->life_cycle.join_voters();
     }
     else
     {
-        this->life.leave_voters();
+        this->life_cycle.leave_voters();
     }
 }
 
-bool replica_core::counts_vote(membership const& members, host_id const& host,
-                               std::uint64_t sender) const
+bool replica_core::is_counted_voter(membership const& members,
+                                    host_id const& host,
+                                    std::uint64_t sender_incarnation) const
 {
-    if (this->switches.incarnation_check)
+    if (this->enabled_safeguards.incarnation_check)
     {
-        return members.is_voter(host, sender);
+        return members.is_voter(host, sender_incarnation);
     }
     member const* const listed = members.find(host);
     return listed != nullptr && listed->voter;
--- a/bilberrylead/agreement/replica_core.hpp
+++ b/bilberrylead/agreement/replica_core.hpp
@@ -27,8 +27,8 @@
 public:
     /// See replica's constructor.
     replica_core(host_id const& own_id, std::uint64_t own_incarnation,
-                 replica_settings const& pace, std::uint64_t seed,
-                 safeguards const& kept);
+                 replica_settings const& own_settings, std::uint64_t seed,
+                 safeguards const& enabled);
 
     /// The role now.
     agreement::role role() const;
@@ -48,22 +48,22 @@
 
     /// Makes durable how far the log is committed, if that is news and the
     /// last such note is some time ago.
-    void note_commit();
+    void record_commit_index();
 
     /// Makes the message that says `body` now.
     message make_message(message_body body) const;
 
     /// Sends once everything written so far is durable; `durable_first`
     /// is false only with a safeguard switched off.
-    void answer(host_id const& to, message_body body,
-                bool durable_first = true);
+    void send_after_sync(host_id const& to, message_body body,
+                         bool wait_for_sync = true);
 
     /// Takes up the role of voter or learner that the membership gives.
-    void match_role_to_membership();
+    void update_role_from_membership();
 
     /// True if a membership counts the vote of exactly this incarnation.
-    bool counts_vote(membership const& members, host_id const& host,
-                     std::uint64_t sender) const;
+    bool is_counted_voter(membership const& members, host_id const& host,
+                          std::uint64_t sender_incarnation) const;
 
     /// Who this is.
     host_id self;
@@ -72,7 +72,7 @@
     /// Pace.
     replica_settings settings;
     /// Tests only.
-    safeguards switches;
+    safeguards enabled_safeguards;
     /// Spreads election timeouts.
     std::mt19937_64 random;
     /// Time of the event at work.
@@ -89,15 +89,15 @@
     /// between events.
     std::uint64_t commit_index = 0;
     /// When `hard_state` last took the commit index over.
-    instant commit_noted_at{};
+    instant commit_index_recorded_at{};
     /// Last index when the call began: durable before any effect of it.
     std::uint64_t durable_index = 0;
     /// Who leads in the present term; empty if unknown.
     host_id leader;
     /// The role's life cycle.
-    role_life_cycle life;
+    role_life_cycle life_cycle;
     /// Effects of the call at work.
-    effect_collector out;
+    effect_collector effects;
 };
 
 } // namespace bilberrylead::agreement
--- a/bilberrylead/agreement/replica_parts.cpp
+++ b/bilberrylead/agreement/replica_parts.cpp
@@ -13,15 +13,18 @@
 
 replica_parts::replica_parts(host_id const& self, std::uint64_t incarnation,
                              replica_settings const& settings,
-                             std::uint64_t seed, safeguards const& switches)
-    : core(self, incarnation, settings, seed, switches), proposals(core),
-      applier(core, proposals), votes(core), appends(core, applier),
-      snapshots(core, applier), office(core, applier), reads(core, office),
-      changes(core, office, proposals), planned_stop(core, office)
+                             std::uint64_t seed,
+                             safeguards const& enabled_safeguards)
+    : core(self, incarnation, settings, seed, enabled_safeguards),
+      proposals(core), applier(core, proposals), elections(core),
+      appends(core, applier), snapshots(core, applier),
+      leadership(core, applier), reads(core, leadership),
+      membership_changes(core, leadership, proposals),
+      leader_handover(core, leadership)
 {
 }
 
-void replica_parts::begin(instant now)
+void replica_parts::begin_call(instant now)
 {
     this->core.now = now;
     this->core.durable_index = this->core.log.last_index();
@@ -29,13 +32,13 @@
     {
         // Before anything else: a leader that was frozen must not act on
         // its first event as if no time had passed.
-        this->office.start_round();
-        this->office.check_quorum();
-        this->settle_role(role::leader);
+        this->leadership.start_round();
+        this->leadership.check_quorum();
+        this->handle_role_change(role::leader);
     }
 }
 
-void replica_parts::take(event const& what)
+void replica_parts::process(event const& event)
 {
     agreement::role const before = this->core.role();
     std::visit(
@@ -43,75 +46,77 @@
         {
             this->on(one);
         },
-        what);
-    this->settle_role(before);
+        event);
+    this->handle_role_change(before);
 }
 
-std::vector<effect> replica_parts::finish()
+std::vector<effect> replica_parts::finish_call()
 {
     if (this->core.role() == role::leader)
     {
-        this->planned_stop.go_on();
-        this->office.flush();
-        this->settle_role(role::leader);
+        this->leader_handover.advance();
+        this->leadership.flush();
+        this->handle_role_change(role::leader);
     }
     if (this->core.role() == role::leader)
     {
         this->reads.answer_confirmed();
     }
     this->report_role();
-    return this->core.out.take();
+    return this->core.effects.take_all();
 }
 
-void replica_parts::on(started const& what)
+void replica_parts::on(started const& event)
 {
     // Before the restart it may have answered a leader that still counts
     // on this answer for its lease.
-    this->votes.heard_leader();
-    bool const blank = !what.snapshot.has_value() && what.entries.empty() &&
-                       what.hard_state.term == 0;
-    if (blank && what.founding.has_value())
+    this->elections.record_leader_contact();
+    bool const blank = !event.snapshot.has_value() && event.entries.empty() &&
+                       event.hard_state.term == 0;
+    if (blank && event.initial_membership.has_value())
     {
-        this->found_group(*what.founding);
+        this->bootstrap_group(*event.initial_membership);
         return;
     }
-    this->core.hard_state = what.hard_state;
-    this->recover_log(what);
+    this->core.hard_state = event.hard_state;
+    this->recover_log(event);
 }
 
-void replica_parts::found_group(membership const& founding)
+void replica_parts::bootstrap_group(membership const& initial_membership)
 {
     // The same entry at every founder, as if a leader of term 1 had
     // brought it; the first real leader commits it.
-    log_entry first{1, 1, entry_kind::membership, encode_membership(founding)};
+    log_entry first{1, 1, entry_kind::membership,
+                    encode_membership(initial_membership)};
     this->core.set_hard_state(1, host_id());
     this->core.log.append(first);
-    this->core.memberships.put(1, founding);
-    this->core.out.write(append_entries{1, {std::move(first)}});
+    this->core.memberships.put(1, initial_membership);
+    this->core.effects.write(append_entries{1, {std::move(first)}});
 }
 
-void replica_parts::recover_log(started const& what)
+void replica_parts::recover_log(started const& event)
 {
-    replica_core& to = this->core;
-    if (what.snapshot.has_value())
+    replica_core& state = this->core;
+    if (event.snapshot.has_value())
     {
-        to.latest_snapshot = std::make_shared<snapshot const>(*what.snapshot);
-        to.log.reset(what.snapshot->last_index, what.snapshot->last_term);
-        to.memberships.reset(what.snapshot->last_index,
-                             what.snapshot->membership);
-        to.commit_index = what.snapshot->last_index;
-        to.out.add(restore{*what.snapshot});
+        state.latest_snapshot =
+            std::make_shared<snapshot const>(*event.snapshot);
+        state.log.reset(event.snapshot->last_index, event.snapshot->last_term);
+        state.memberships.reset(event.snapshot->last_index,
+                                event.snapshot->membership);
+        state.commit_index = event.snapshot->last_index;
+        state.effects.add(restore{*event.snapshot});
     }
-    for (log_entry const& one : what.entries)
+    for (log_entry const& one : event.entries)
     {
-        if (one.index < to.log.base_index())
+        if (one.index < state.log.base_index())
         {
             continue;
         }
-        if (one.index == to.log.base_index())
+        if (one.index == state.log.base_index())
         {
             // Another leader's log, from before the snapshot replaced it.
-            if (one.term != to.log.last_term())
+            if (one.term != state.log.last_term())
             {
                 break;
             }
@@ -121,65 +126,68 @@
             decode_membership(one.payload);
         bool const readable =
             one.kind != entry_kind::membership || members.ok();
-        if (one.index != to.log.last_index() + 1 || !readable)
+        if (one.index != state.log.last_index() + 1 || !readable)
         {
-            to.life.stop();
+            state.life_cycle.stop();
             return;
         }
-        to.log.append(one);
+        state.log.append(one);
         if (one.kind == entry_kind::membership)
         {
-            to.memberships.put(one.index, *members);
+            state.memberships.put(one.index, *members);
         }
     }
 
     // Entries became durable and their term did not: nothing was answered
     // in that term, so that no vote in it is lost.
-    if (to.log.last_term() > to.hard_state.term)
+    if (state.log.last_term() > state.hard_state.term)
     {
-        to.set_hard_state(to.log.last_term(), host_id());
+        state.set_hard_state(state.log.last_term(), host_id());
     }
 
     // What was committed once stays so: the state is whole again before
     // there is a leader, and hosts that ask get what was in force.
     this->applier.commit_through(
-        std::min(what.hard_state.committed, to.log.last_index()));
+        std::min(event.hard_state.committed, state.log.last_index()));
 }
 
 void replica_parts::on(tick const&)
 {
     if (this->core.role() != role::stopped)
     {
-        this->core.note_commit();
+        this->core.record_commit_index();
     }
     if (this->core.role() == role::leader)
     {
-        this->changes.on_tick();
-        this->office.on_tick();
+        this->membership_changes.on_tick();
+        this->leadership.on_tick();
     }
     else
     {
-        this->votes.on_tick();
+        this->elections.on_tick();
     }
 }
 
-void replica_parts::on(message_received const& what)
+void replica_parts::on(message_received const& event)
 {
-    if (this->core.role() != role::stopped && !this->is_from_former_self(what))
+    if (this->core.role() != role::stopped &&
+        !this->is_from_previous_incarnation(event))
     {
-        this->dispatch(what.from, what.message);
+        this->dispatch(event.from, event.message);
     }
 }
 
-bool replica_parts::is_from_former_self(message_received const& what) const
+bool replica_parts::is_from_previous_incarnation(
+    message_received const& event) const
 {
     member const* const listed =
-        this->core.memberships.current().find(what.from);
-    return listed != nullptr && this->core.switches.incarnation_check &&
-           what.message.incarnation < listed->incarnation;
+        this->core.memberships.current().find(event.from);
+    return listed != nullptr &&
+           this->core.enabled_safeguards.incarnation_check &&
+           event.message.incarnation < listed->incarnation;
 }
 
-void replica_parts::dispatch(host_id const& from, message const& whole)
+void replica_parts::dispatch(host_id const& from, message const& received)
 {
     std::visit(
         [&](auto const& body)
@@ -187,49 +195,49 @@
             using body_type = std::remove_cvref_t<decltype(body)>;
             if constexpr (std::is_same_v<body_type, pre_vote_request>)
             {
-                this->votes.on_pre_vote_request(from, whole, body);
+                this->elections.on_pre_vote_request(from, received, body);
             }
             else if constexpr (std::is_same_v<body_type, vote_request>)
             {
-                this->votes.on_vote_request(from, whole, body);
+                this->elections.on_vote_request(from, received, body);
             }
             else if constexpr (std::is_same_v<body_type, timeout_now>)
             {
-                this->votes.on_timeout_now(from, whole);
+                this->elections.on_timeout_now(from, received);
             }
             else if constexpr (std::is_same_v<body_type, append_request> ||
                                std::is_same_v<body_type,
                                               install_snapshot_request>)
             {
-                this->receive_from_leader(from, whole);
+                this->receive_from_leader(from, received);
             }
             else
             {
-                this->receive_reply(from, whole);
+                this->receive_reply(from, received);
             }
         },
-        whole.body);
+        received.body);
 }
 
 void replica_parts::receive_from_leader(host_id const& from,
-                                        message const& whole)
+                                        message const& received)
 {
     append_request const* const request =
-        std::get_if<append_request>(&whole.body);
-    if (whole.term < this->core.hard_state.term)
+        std::get_if<append_request>(&received.body);
+    if (received.term < this->core.hard_state.term)
     {
         // The term in the answer tells the old leader that it is one.
-        this->core.answer(from, append_reply{});
+        this->core.send_after_sync(from, append_reply{});
         return;
     }
-    this->core.adopt_term(whole.term);
+    this->core.adopt_term(received.term);
     if (this->core.role() == role::leader)
     {
         return;
     }
     this->core.leader = from;
-    this->core.life.follow();
-    this->votes.heard_leader();
+    this->core.life_cycle.follow();
+    this->elections.record_leader_contact();
     if (request != nullptr)
     {
         this->appends.on_append_request(from, *request);
@@ -237,40 +245,41 @@
     else
     {
         this->snapshots.on_install_snapshot_request(
-            from, std::get<install_snapshot_request>(whole.body));
+            from, std::get<install_snapshot_request>(received.body));
     }
 }
 
-void replica_parts::receive_reply(host_id const& from, message const& whole)
+void replica_parts::receive_reply(host_id const& from, message const& received)
 {
-    this->core.adopt_term(whole.term);
+    this->core.adopt_term(received.term);
     if (pre_vote_reply const* const pre =
-            std::get_if<pre_vote_reply>(&whole.body))
+            std::get_if<pre_vote_reply>(&received.body))
     {
-        this->votes.on_pre_vote_reply(from, whole, *pre);
+        this->elections.on_pre_vote_reply(from, received, *pre);
         return;
     }
-    if (vote_reply const* const vote = std::get_if<vote_reply>(&whole.body))
+    if (vote_reply const* const vote = std::get_if<vote_reply>(&received.body))
     {
-        this->votes.on_vote_reply(from, whole, *vote);
+        this->elections.on_vote_reply(from, received, *vote);
         return;
     }
     if (this->core.role() != role::leader ||
-        whole.term != this->core.hard_state.term)
+        received.term != this->core.hard_state.term)
     {
         return;
     }
     if (append_reply const* const reply =
-            std::get_if<append_reply>(&whole.body))
+            std::get_if<append_reply>(&received.body))
     {
-        this->office.on_append_reply(from, whole.incarnation, *reply);
+        this->leadership.on_append_reply(from, received.incarnation, *reply);
         return;
     }
-    this->office.on_install_snapshot_reply(
-        from, whole.incarnation, std::get<install_snapshot_reply>(whole.body));
+    this->leadership.on_install_snapshot_reply(
+        from, received.incarnation,
+        std::get<install_snapshot_reply>(received.body));
 }
 
-void replica_parts::on(propose const& what)
+void replica_parts::on(propose const& event)
 {
     refusal reason = refusal::not_leader;
     if (this->core.role() == role::stopped)
@@ -279,79 +288,80 @@
     }
     else if (this->core.role() == role::leader)
     {
-        if (!this->planned_stop.under_way() &&
-            !this->proposals.full(what.payload.size()))
+        if (!this->leader_handover.is_in_progress() &&
+            !this->proposals.would_exceed_limits(event.payload.size()))
         {
             std::uint64_t const index =
-                this->office.append(entry_kind::command, what.payload);
-            this->proposals.opened(index, what.token, what.payload.size());
+                this->leadership.append(entry_kind::command, event.payload);
+            this->proposals.add(index, event.token, event.payload.size());
             return;
         }
-        reason = this->planned_stop.under_way() ? refusal::handing_over
-                                                : refusal::no_room;
+        reason = this->leader_handover.is_in_progress() ? refusal::handing_over
+                                                        : refusal::no_room;
     }
-    this->core.out.add(proposal_refused{what.token, reason, this->core.leader});
+    this->core.effects.add(
+        proposal_refused{event.token, reason, this->core.leader});
 }
 
-void replica_parts::on(read_requested const& what)
+void replica_parts::on(read_requested const& event)
 {
-    this->reads.on_read_requested(what.token);
+    this->reads.on_read_requested(event.token);
 }
 
-void replica_parts::on(membership_change_requested const& what)
+void replica_parts::on(membership_change_requested const& event)
 {
-    this->changes.on_change_requested(what);
+    this->membership_changes.on_change_requested(event);
 }
 
-void replica_parts::on(handover_requested const& what)
+void replica_parts::on(handover_requested const& event)
 {
-    this->planned_stop.on_handover_requested(what.target);
+    this->leader_handover.on_handover_requested(event.target);
 }
 
-void replica_parts::on(snapshot_taken const& what)
+void replica_parts::on(snapshot_taken const& event)
 {
     if (this->core.role() != role::stopped)
     {
-        this->applier.on_snapshot_taken(what, this->office.needed_index());
+        this->applier.on_snapshot_taken(event, this->leadership.needed_index());
     }
 }
 
 void replica_parts::on(disk_failed const&)
 {
     this->core.leader = host_id();
-    this->core.life.stop();
+    this->core.life_cycle.stop();
 }
 
-void replica_parts::settle_role(agreement::role before)
+void replica_parts::handle_role_change(agreement::role before)
 {
-    this->core.match_role_to_membership();
+    this->core.update_role_from_membership();
     agreement::role const after = this->core.role();
     if (before == role::leader && after != role::leader)
     {
-        this->proposals.give_up();
+        this->proposals.abandon_all();
         this->reads.refuse_all();
-        this->planned_stop.end();
-        this->office.end();
-        this->votes.restart_timer();
+        this->leader_handover.cancel();
+        this->leadership.end();
+        this->elections.restart_timer();
     }
     if (before != role::leader && after == role::leader)
     {
         this->core.leader = this->core.self;
-        this->office.begin();
+        this->leadership.begin();
     }
 }
 
 void replica_parts::report_role()
 {
-    role_changed const present{this->core.role(), this->core.hard_state.term,
+    role_changed const current{this->core.role(), this->core.hard_state.term,
                                this->core.leader};
-    bool const same = present.role == this->reported.role &&
-                      present.term == this->reported.term &&
-                      present.leader == this->reported.leader;
+    bool const same = current.role == this->last_reported.role &&
+                      current.term == this->last_reported.term &&
+                      current.leader == this->last_reported.leader;
     if (!same)
     {
-        this->reported = present;
-        this->core.out.add(present);
+        this->last_reported = current;
+        this->core.effects.add(current);
     }
 }
 
--- a/bilberrylead/agreement/replica_parts.hpp
+++ b/bilberrylead/agreement/replica_parts.hpp
@@ -9,7 +9,7 @@
 #include "bilberrylead/agreement/leadership.hpp"
 #include "bilberrylead/agreement/log_applier.hpp"
 #include "bilberrylead/agreement/membership_changer.hpp"
-#include "bilberrylead/agreement/open_proposals.hpp"
+#include "bilberrylead/agreement/pending_proposals.hpp"
 #include "bilberrylead/agreement/read_queue.hpp"
 #include "bilberrylead/agreement/replica_core.hpp"
 #include "bilberrylead/agreement/snapshot_receiver.hpp"
@@ -27,56 +27,56 @@
     /// See replica's constructor.
     replica_parts(host_id const& self, std::uint64_t incarnation,
                   replica_settings const& settings, std::uint64_t seed,
-                  safeguards const& switches);
+                  safeguards const& enabled_safeguards);
 
     /// Opens a call.
-    void begin(instant now);
+    void begin_call(instant now);
     /// Takes one event of the call.
-    void take(event const& what);
+    void process(event const& event);
     /// Closes the call.
-    std::vector<effect> finish();
+    std::vector<effect> finish_call();
 
     /// Shared state.
     replica_core core;
     /// Open proposals.
-    open_proposals proposals;
+    pending_proposals proposals;
     /// Commit and snapshots.
     log_applier applier;
     /// Elections.
-    election votes;
+    election elections;
     /// Follower's side of appends.
     append_receiver appends;
     /// Follower's side of snapshots.
     snapshot_receiver snapshots;
     /// Leader's side.
-    leadership office;
+    agreement::leadership leadership;
     /// Reads.
     read_queue reads;
     /// Membership.
-    membership_changer changes;
+    membership_changer membership_changes;
     /// Planned stops.
-    handover planned_stop;
+    handover leader_handover;
 
 private:
-    void on(started const& what);
-    void on(tick const& what);
-    void on(message_received const& what);
-    void on(propose const& what);
-    void on(read_requested const& what);
-    void on(membership_change_requested const& what);
-    void on(handover_requested const& what);
-    void on(snapshot_taken const& what);
-    void on(disk_failed const& what);
-    void found_group(membership const& founding);
-    void recover_log(started const& what);
-    bool is_from_former_self(message_received const& what) const;
-    void dispatch(host_id const& from, message const& whole);
-    void receive_from_leader(host_id const& from, message const& whole);
-    void receive_reply(host_id const& from, message const& whole);
-    void settle_role(agreement::role before);
+    void on(started const& event);
+    void on(tick const& event);
+    void on(message_received const& event);
+    void on(propose const& event);
+    void on(read_requested const& event);
+    void on(membership_change_requested const& event);
+    void on(handover_requested const& event);
+    void on(snapshot_taken const& event);
+    void on(disk_failed const& event);
+    void bootstrap_group(membership const& initial_membership);
+    void recover_log(started const& event);
+    bool is_from_previous_incarnation(message_received const& event) const;
+    void dispatch(host_id const& from, message const& received);
+    void receive_from_leader(host_id const& from, message const& received);
+    void receive_reply(host_id const& from, message const& received);
+    void handle_role_change(agreement::role before);
     void report_role();
 
-    role_changed reported;
+    role_changed last_reported;
 };
 
 } // namespace bilberrylead::agreement
--- a/bilberrylead/agreement/replica_settings.hpp
+++ b/bilberrylead/agreement/replica_settings.hpp
@@ -24,7 +24,7 @@
     /// Shortest time between two notes of how far the log is committed. Each
     /// is a sync of its own; what was accepted since the last one waits for
     /// a leader if all hosts lose power at once.
-    duration commit_note_pause = std::chrono::milliseconds(200);
+    duration commit_index_persist_interval = std::chrono::milliseconds(200);
     /// Taken off the election timeout to get the lease: covers monotonic
     /// clocks that run at different rates (150 ms in 700 is far beyond any
     /// crystal), so that the old lease ends before a successor starts.
--- a/bilberrylead/agreement/role_life_cycle.cpp
+++ b/bilberrylead/agreement/role_life_cycle.cpp
@@ -25,13 +25,13 @@
 struct campaign_started
 {
 };
-struct votes_won
+struct election_won
 {
 };
-struct office_lost
+struct stepped_down
 {
 };
-struct disk_lost
+struct disk_broken
 {
 };
 
@@ -42,7 +42,7 @@
     template <class Event, class Machine>
     void on_entry(Event const&, Machine& machine)
     {
-        machine.present = Role;
+        machine.current_role = Role;
     }
 };
 
@@ -54,7 +54,7 @@
 using stopped_state = role_state<role::stopped>;
 
 template <class From, class Event, class To>
-using step = front::Row<From, Event, To, front::none, front::none>;
+using transition = front::Row<From, Event, To, front::none, front::none>;
 
 struct cycle_definition : public front::state_machine_def<cycle_definition>
 {
@@ -62,23 +62,23 @@
 
     // clang-format off
     struct transition_table : boost::mpl::vector<
-        step<learner_state, joined_voters, follower_state>,
-        step<learner_state, disk_lost, stopped_state>,
-        step<follower_state, left_voters, learner_state>,
-        step<follower_state, leader_missing, pre_candidate_state>,
-        step<follower_state, campaign_started, candidate_state>,
-        step<follower_state, disk_lost, stopped_state>,
-        step<pre_candidate_state, left_voters, learner_state>,
-        step<pre_candidate_state, office_lost, follower_state>,
-        step<pre_candidate_state, campaign_started, candidate_state>,
-        step<pre_candidate_state, disk_lost, stopped_state>,
-        step<candidate_state, left_voters, learner_state>,
-        step<candidate_state, office_lost, follower_state>,
-        step<candidate_state, leader_missing, pre_candidate_state>,
-        step<candidate_state, votes_won, leader_state>,
-        step<candidate_state, disk_lost, stopped_state>,
-        step<leader_state, office_lost, follower_state>,
-        step<leader_state, disk_lost, stopped_state>
+        transition<learner_state, joined_voters, follower_state>,
+        transition<learner_state, disk_broken, stopped_state>,
+        transition<follower_state, left_voters, learner_state>,
+        transition<follower_state, leader_missing, pre_candidate_state>,
+        transition<follower_state, campaign_started, candidate_state>,
+        transition<follower_state, disk_broken, stopped_state>,
+        transition<pre_candidate_state, left_voters, learner_state>,
+        transition<pre_candidate_state, stepped_down, follower_state>,
+        transition<pre_candidate_state, campaign_started, candidate_state>,
+        transition<pre_candidate_state, disk_broken, stopped_state>,
+        transition<candidate_state, left_voters, learner_state>,
+        transition<candidate_state, stepped_down, follower_state>,
+        transition<candidate_state, leader_missing, pre_candidate_state>,
+        transition<candidate_state, election_won, leader_state>,
+        transition<candidate_state, disk_broken, stopped_state>,
+        transition<leader_state, stepped_down, follower_state>,
+        transition<leader_state, disk_broken, stopped_state>
     >
     {
     };
@@ -90,7 +90,7 @@
     {
     }
 
-    agreement::role present = agreement::role::learner;
+    agreement::role current_role = agreement::role::learner;
 };
 
 } // namespace
@@ -109,7 +109,7 @@
 
 role role_life_cycle::current() const
 {
-    return this->cycle->present;
+    return this->cycle->current_role;
 }
 
 void role_life_cycle::join_voters()
@@ -122,7 +122,7 @@
     this->cycle->process_event(left_voters{});
 }
 
-void role_life_cycle::ask_for_pre_votes()
+void role_life_cycle::start_pre_vote()
 {
     this->cycle->process_event(leader_missing{});
 }
@@ -134,17 +134,17 @@
 
 void role_life_cycle::win()
 {
-    this->cycle->process_event(votes_won{});
+    this->cycle->process_event(election_won{});
 }
 
 void role_life_cycle::follow()
 {
-    this->cycle->process_event(office_lost{});
+    this->cycle->process_event(stepped_down{});
 }
 
 void role_life_cycle::stop()
 {
-    this->cycle->process_event(disk_lost{});
+    this->cycle->process_event(disk_broken{});
 }
 
 } // namespace bilberrylead::agreement
--- a/bilberrylead/agreement/role_life_cycle.hpp
+++ b/bilberrylead/agreement/role_life_cycle.hpp
@@ -29,7 +29,7 @@
     /// The membership no longer counts this replica's vote.
     void leave_voters();
     /// No leader was heard for too long.
-    void ask_for_pre_votes();
+    void start_pre_vote();
     /// A quorum would vote for it, or the leader hands over.
     void campaign();
     /// A quorum voted for it.
--- a/bilberrylead/agreement/snapshot_receiver.cpp
+++ b/bilberrylead/agreement/snapshot_receiver.cpp
@@ -26,7 +26,7 @@
     install_snapshot_reply reply{request.round, request.last_index, 0, true};
     if (request.last_index > this->core.commit_index)
     {
-        this->take_chunk(request);
+        this->add_chunk(request);
         reply.next_offset = this->incoming.state.size();
         reply.installed = reply.next_offset == request.total_size;
         if (reply.installed)
@@ -35,18 +35,19 @@
                 std::exchange(this->incoming, snapshot())));
         }
     }
-    this->core.answer(from, reply);
+    this->core.send_after_sync(from, reply);
 }
 
-bool snapshot_receiver::is_same(install_snapshot_request const& request) const
+bool snapshot_receiver::matches_incoming(
+    install_snapshot_request const& request) const
 {
     return this->incoming.last_index == request.last_index &&
            this->incoming.last_term == request.last_term;
 }
 
-void snapshot_receiver::take_chunk(install_snapshot_request const& request)
+void snapshot_receiver::add_chunk(install_snapshot_request const& request)
 {
-    if (!this->is_same(request))
+    if (!this->matches_incoming(request))
     {
         this->incoming = snapshot{request.last_index, request.last_term,
                                   request.membership, bytes()};
--- a/bilberrylead/agreement/snapshot_receiver.hpp
+++ b/bilberrylead/agreement/snapshot_receiver.hpp
@@ -25,8 +25,8 @@
                                      install_snapshot_request const& request);
 
 private:
-    bool is_same(install_snapshot_request const& request) const;
-    void take_chunk(install_snapshot_request const& request);
+    bool matches_incoming(install_snapshot_request const& request) const;
+    void add_chunk(install_snapshot_request const& request);
 
     replica_core& core;
     log_applier& applier;
--- a/bilberrylead/control/control_reducer_group.cpp
+++ b/bilberrylead/control/control_reducer_group.cpp
@@ -133,13 +133,13 @@
          this->replica.members(this->time))
     {
         membership::planned_host host;
-        host.host = state.who.host;
-        host.incarnation = state.who.incarnation;
+        host.host = state.member.host;
+        host.incarnation = state.member.incarnation;
         host.member = true;
-        host.voter = state.who.voter;
-        host.becomes_voter = state.who.voter_when_caught_up;
+        host.voter = state.member.voter;
+        host.becomes_voter = state.member.voter_when_caught_up;
         host.caught_up = state.caught_up;
-        host.silent_for = state.silent_for;
+        host.silent_for = state.time_since_reply;
         host.leader = host.host == this->settings.self;
         host.linked = this->control_links.contains(host.host);
         listed.insert(host.host);
--- a/bilberrylead/daemon/control_program.cpp
+++ b/bilberrylead/daemon/control_program.cpp
@@ -117,10 +117,11 @@
     std::vector<host_id> const& founders) const
 {
     agreement::started first;
-    first.founding.emplace();
+    first.initial_membership.emplace();
     for (host_id const& founder : founders)
     {
-        first.founding->put({founder, this->store->incarnation(), true, false});
+        first.initial_membership->put(
+            {founder, this->store->incarnation(), true, false});
     }
     return first;
 }
--- a/performance/agreement_slopes/memory_group.cpp
+++ b/performance/agreement_slopes/memory_group.cpp
@@ -32,7 +32,7 @@
         members.put(agreement::member{name_of(place), 1, true, false});
     }
     agreement::started first;
-    first.founding = members;
+    first.initial_membership = members;
     event const start = first;
     for (std::size_t place = 0; place < voters; ++place)
     {
--- a/tests/unit/agreement/codec_test.cpp
+++ b/tests/unit/agreement/codec_test.cpp
@@ -82,10 +82,11 @@
 {
     for (message const& one : every_message())
     {
-        bytes const whole = encode_message(one);
-        for (std::size_t length = 0; length < whole.size(); ++length)
+        bytes const encoded = encode_message(one);
+        for (std::size_t length = 0; length < encoded.size(); ++length)
         {
-            cr_assert_not(decode_message(std::span(whole).first(length)).ok());
+            cr_assert_not(
+                decode_message(std::span(encoded).first(length)).ok());
         }
     }
 }
@@ -95,10 +96,10 @@
     std::mt19937_64 random(7);
     for (message const& one : every_message())
     {
-        bytes const whole = encode_message(one);
+        bytes const encoded = encode_message(one);
         for (int round = 0; round < 2000; ++round)
         {
-            bytes damaged = whole;
+            bytes damaged = encoded;
             damaged.at(random() % damaged.size()) =
                 static_cast<std::uint8_t>(random());
             absl::StatusOr<message> const read = decode_message(damaged);
@@ -149,10 +150,11 @@
 Test(codec, records_of_the_data_folder_when_written_and_read_are_the_same)
 {
     hard_state const state{7, host_id("a"), 5};
-    snapshot const whole{12, 3, two_members(), {1, 2, 3, 4}};
+    snapshot const state_snapshot{12, 3, two_members(), {1, 2, 3, 4}};
     log_entry const entry{3, 9, entry_kind::command, {}};
     cr_assert(*decode_hard_state(encode_hard_state(state)) == state);
-    cr_assert(*decode_snapshot(encode_snapshot(whole)) == whole);
+    cr_assert(*decode_snapshot(encode_snapshot(state_snapshot)) ==
+              state_snapshot);
     cr_assert(*decode_entry(encode_entry(entry)) == entry);
 }
 
--- a/tests/unit/agreement/failure_test.cpp
+++ b/tests/unit/agreement/failure_test.cpp
@@ -10,8 +10,8 @@
 Test(replica, three_founders_when_started_elect_one_and_accept)
 {
     group_fixture group;
-    cr_assert(group.settle(*group.leader()) == outcome::accepted);
-    group.expect_no_breach();
+    cr_assert(group.propose_and_deliver(*group.leader()) == outcome::accepted);
+    group.expect_no_violation();
 }
 
 Test(replica, leader_when_isolated_for_long_steps_down_and_comes_back_in_line)
@@ -23,14 +23,14 @@
     group_fixture group;
     std::size_t const old = *group.leader();
     group.isolate(old);
-    std::uint64_t const caught = group.propose_at(old);
+    std::uint64_t const pending_change = group.propose_at(old);
     group.carry_out_all(old);
     group.run_for(10s);
-    cr_assert(group.outcome_of(caught) == outcome::unknown);
+    cr_assert(group.outcome_of(pending_change) == outcome::unknown);
     std::size_t const next = *group.leader();
     cr_assert_neq(next, old);
-    cr_assert(group.settle(next) == outcome::accepted);
-    cr_assert(group.settle(old) == outcome::refused);
+    cr_assert(group.propose_and_deliver(next) == outcome::accepted);
+    cr_assert(group.propose_and_deliver(old) == outcome::refused);
     cr_assert_not(group.read_index(group.read_at(old)).has_value());
 
     std::uint64_t const term = group.hosts[next].replica->term();
@@ -39,7 +39,7 @@
     cr_assert_eq(*group.leader(), next, "The healthy leader was unseated.");
     cr_assert_eq(group.hosts[next].replica->term(), term);
     cr_assert_eq(group.hosts[old].applied, group.checker.committed());
-    group.expect_no_breach();
+    group.expect_no_violation();
 }
 
 Test(replica, leader_when_thawed_answers_no_read_from_the_past)
@@ -51,13 +51,13 @@
     std::size_t const old = *group.leader();
     group.hosts[old].frozen = true;
     group.run_for(4s);
-    cr_assert(group.settle(*group.leader()) == outcome::accepted);
+    cr_assert(group.propose_and_deliver(*group.leader()) == outcome::accepted);
     group.hosts[old].frozen = false;
     std::uint64_t const token = group.read_at(old);
     group.carry_out_all(old);
     group.run_for(1s);
     cr_assert_not(group.read_index(token).has_value());
-    group.expect_no_breach();
+    group.expect_no_violation();
 }
 
 Test(replica, old_and_new_leader_when_racing_accept_one_change)
@@ -74,11 +74,11 @@
     {
         group.run_for(group.settings.tick_interval);
     }
-    cr_assert(group.settle(*group.leader()) == outcome::accepted);
+    cr_assert(group.propose_and_deliver(*group.leader()) == outcome::accepted);
     group.heal();
     group.run_for(3s);
     cr_assert(group.outcome_of(lost) == outcome::unknown);
-    group.expect_no_breach();
+    group.expect_no_violation();
 }
 
 Test(replica, host_when_restarted_after_500_changes_catches_up_by_snapshot)
@@ -86,25 +86,25 @@
     // A host is down while 500 changes pass and the log is cut behind
     // snapshots. It comes back with an old log and must end with the same
     // state, without undoing anything on the way.
-    replica_settings pace;
-    pace.snapshot_threshold = 100;
-    pace.kept_entries = 20;
-    pace.max_append_entries = 16;
-    group_fixture group(3, 0, pace);
+    replica_settings settings;
+    settings.snapshot_threshold = 100;
+    settings.kept_entries = 20;
+    settings.max_append_entries = 16;
+    group_fixture group(3, 0, settings);
     std::size_t const leader = *group.leader();
     std::size_t const late = group.other_than(leader, leader);
-    group.settle(leader);
+    group.propose_and_deliver(leader);
     group.crash(late);
     for (int change = 0; change < 500; ++change)
     {
-        cr_assert(group.settle(leader) == outcome::accepted);
+        cr_assert(group.propose_and_deliver(leader) == outcome::accepted);
     }
     group.start(late);
     group.run_for(2s);
     cr_assert_geq(group.hosts[late].applied, 500U);
     cr_assert_eq(group.hosts[late].applied, group.checker.committed());
     cr_assert(group.hosts[late].disk.read().snapshot.has_value());
-    group.expect_no_breach();
+    group.expect_no_violation();
 }
 
 Test(replica, group_when_second_host_is_lost_after_a_repair_goes_on)
@@ -115,7 +115,7 @@
     group_fixture group;
     std::size_t const leader = *group.leader();
     std::size_t const blank = group.other_than(leader, leader);
-    cr_assert(group.settle(leader) == outcome::accepted);
+    cr_assert(group.propose_and_deliver(leader) == outcome::accepted);
     group.crash(blank);
     group.lose_disk(blank);
     group.start(blank);
@@ -133,8 +133,8 @@
     group.lose_disk(leader);
     group.run_for(5s);
     cr_assert(group.leader().has_value(), "%s", group.describe().c_str());
-    cr_assert(group.settle(*group.leader()) == outcome::accepted);
-    group.expect_no_breach();
+    cr_assert(group.propose_and_deliver(*group.leader()) == outcome::accepted);
+    group.expect_no_violation();
 }
 
 Test(replica, sole_voter_when_it_crashes_before_the_sync_told_no_commit)
@@ -144,13 +144,13 @@
     // before it. The learner must not have applied what the voter lost.
     group_fixture group(1, 1);
     host_id const learner = group.hosts[1].id;
-    group.give(0, membership_change_requested{
-                      99, membership_action::add_learner, learner, 1});
+    group.process(0, membership_change_requested{
+                         99, membership_action::add_learner, learner, 1});
     group.run_for(1s);
     group.propose_at(0);
-    while (!group.hosts[0].due.empty() &&
+    while (!group.hosts[0].pending_effects.empty() &&
            !std::holds_alternative<bilberrylead::agreement::sync>(
-               group.hosts[0].due.front()))
+               group.hosts[0].pending_effects.front()))
     {
         group.carry_out(0, 1);
     }
@@ -158,8 +158,8 @@
     group.deliver_all();
     group.start(0);
     group.run_for(3s);
-    cr_assert(group.settle(0) == outcome::accepted);
-    group.expect_no_breach();
+    cr_assert(group.propose_and_deliver(0) == outcome::accepted);
+    group.expect_no_violation();
 }
 
 Test(replica, disk_when_failed_stops_the_leader_and_a_successor_takes_over)
@@ -168,12 +168,12 @@
     // operator's next change goes to the successor.
     group_fixture group;
     std::size_t const old = *group.leader();
-    group.give(old, disk_failed{});
-    cr_assert(group.settle(old) == outcome::refused);
+    group.process(old, disk_failed{});
+    cr_assert(group.propose_and_deliver(old) == outcome::refused);
     group.run_for(4s);
     cr_assert_neq(*group.leader(), old);
-    cr_assert(group.settle(*group.leader()) == outcome::accepted);
-    group.expect_no_breach();
+    cr_assert(group.propose_and_deliver(*group.leader()) == outcome::accepted);
+    group.expect_no_violation();
 }
 
 // All hosts lose power at once and callers wait for the first one that is
@@ -185,13 +185,13 @@
     std::size_t const leader = *group.leader();
     for (int change = 0; change < 20; ++change)
     {
-        cr_assert(group.settle(leader) == outcome::accepted);
+        cr_assert(group.propose_and_deliver(leader) == outcome::accepted);
     }
     group.run_for(1s);
     std::uint64_t const committed = group.checker.committed();
-    for (std::size_t place = 0; place < 3; ++place)
+    for (std::size_t host_index = 0; host_index < 3; ++host_index)
     {
-        group.crash(place);
+        group.crash(host_index);
     }
     group.start(0);
     cr_expect_eq(group.hosts[0].applied, committed);
@@ -199,6 +199,6 @@
     cr_expect_not(group.leader().has_value(), "one of three elects nobody");
     group.start(1);
     group.run_for(5s);
-    cr_expect(group.settle(*group.leader()) == outcome::accepted);
-    group.expect_no_breach();
+    cr_expect(group.propose_and_deliver(*group.leader()) == outcome::accepted);
+    group.expect_no_violation();
 }
--- a/tests/unit/agreement/fake_disk.cpp
+++ b/tests/unit/agreement/fake_disk.cpp
@@ -5,9 +5,9 @@
 namespace bilberrylead::agreement::tests
 {
 
-void fake_disk::write(effect const& what)
+void fake_disk::write(effect const& write)
 {
-    this->unsynced.push_back(what);
+    this->unsynced.push_back(write);
 }
 
 void fake_disk::sync()
@@ -17,9 +17,9 @@
 
 void fake_disk::crash(std::size_t kept)
 {
-    for (std::size_t place = 0; place < kept; ++place)
+    for (std::size_t write_index = 0; write_index < kept; ++write_index)
     {
-        this->make_durable(this->unsynced.at(place));
+        this->make_durable(this->unsynced.at(write_index));
     }
     this->unsynced.clear();
 }
@@ -40,29 +40,29 @@
     return this->durable;
 }
 
-void fake_disk::make_durable(effect const& what)
+void fake_disk::make_durable(effect const& write)
 {
     if (persist_hard_state const* const next =
-            std::get_if<persist_hard_state>(&what))
+            std::get_if<persist_hard_state>(&write))
     {
         this->durable.hard_state = next->state;
     }
     else if (append_entries const* const added =
-                 std::get_if<append_entries>(&what))
+                 std::get_if<append_entries>(&write))
     {
-        this->cut_and_append(*added);
+        this->truncate_and_append(*added);
     }
-    else if (persist_snapshot const* const taken =
-                 std::get_if<persist_snapshot>(&what))
+    else if (persist_snapshot const* const persisted =
+                 std::get_if<persist_snapshot>(&write))
     {
-        this->durable.snapshot = taken->snapshot;
-        if (taken->discard_log)
+        this->durable.snapshot = persisted->snapshot;
+        if (persisted->discard_log)
         {
             this->durable.entries.clear();
         }
     }
     else if (drop_log_prefix const* const dropped =
-                 std::get_if<drop_log_prefix>(&what))
+                 std::get_if<drop_log_prefix>(&write))
     {
         std::erase_if(this->durable.entries,
                       [dropped](log_entry const& one)
@@ -72,15 +72,15 @@
     }
 }
 
-void fake_disk::cut_and_append(append_entries const& what)
+void fake_disk::truncate_and_append(append_entries const& added)
 {
     std::vector<log_entry>& entries = this->durable.entries;
     std::erase_if(entries,
-                  [&what](log_entry const& one)
+                  [&added](log_entry const& one)
                   {
-                      return one.index >= what.from_index;
+                      return one.index >= added.from_index;
                   });
-    entries.insert(entries.end(), what.entries.begin(), what.entries.end());
+    entries.insert(entries.end(), added.entries.begin(), added.entries.end());
 }
 
 } // namespace bilberrylead::agreement::tests
--- a/tests/unit/agreement/fake_disk.hpp
+++ b/tests/unit/agreement/fake_disk.hpp
@@ -17,7 +17,7 @@
 {
 public:
     /// Takes a write, or the permission to drop old entries.
-    void write(effect const& what);
+    void write(effect const& write);
 
     /// Makes every write durable.
     void sync();
@@ -35,8 +35,8 @@
     started read() const;
 
 private:
-    void make_durable(effect const& what);
-    void cut_and_append(append_entries const& what);
+    void make_durable(effect const& write);
+    void truncate_and_append(append_entries const& added);
 
     std::vector<effect> unsynced;
     started durable;
--- a/tests/unit/agreement/group_checker.cpp
+++ b/tests/unit/agreement/group_checker.cpp
@@ -29,18 +29,18 @@
 
 } // namespace
 
-void group_checker::leads(host_id const& host, std::uint64_t term)
+void group_checker::record_leader(host_id const& host, std::uint64_t term)
 {
-    auto const [place, added] = this->leaders.try_emplace(term, host);
-    if (!added && place->second != host)
+    auto const [leader, added] = this->leaders.try_emplace(term, host);
+    if (!added && leader->second != host)
     {
         this->fail(fmt::format("term {} is led by {} and by {}", term,
-                               place->second.text(), host.text()));
+                               leader->second.text(), host.text()));
     }
 }
 
-void group_checker::applies(host_id const& host, std::uint64_t position,
-                            log_entry const& entry)
+void group_checker::record_apply(host_id const& host, std::uint64_t position,
+                                 log_entry const& entry)
 {
     if (entry.index != position)
     {
@@ -62,13 +62,14 @@
     this->log.push_back(applied_row{entry, digest_after(before, entry)});
 }
 
-void group_checker::restores(host_id const& host, snapshot const& whole)
+void group_checker::record_restore(host_id const& host,
+                                   snapshot const& restored)
 {
-    if (whole.last_index > this->log.size() ||
-        whole.state != this->state_at(whole.last_index))
+    if (restored.last_index > this->log.size() ||
+        restored.state != this->state_at(restored.last_index))
     {
         this->fail(fmt::format("{} takes in a wrong snapshot at {}",
-                               host.text(), whole.last_index));
+                               host.text(), restored.last_index));
     }
 }
 
@@ -76,7 +77,7 @@
 {
     std::uint64_t digest = this->log.at(index - 1).digest;
     bytes state;
-    for (std::size_t place = 0; place < sizeof(digest); ++place)
+    for (std::size_t byte_index = 0; byte_index < sizeof(digest); ++byte_index)
     {
         state.push_back(static_cast<std::uint8_t>(digest & 0xffU));
         digest >>= 8U;
@@ -84,25 +85,26 @@
     return state;
 }
 
-void group_checker::accepted(std::uint64_t index)
+void group_checker::record_accepted(std::uint64_t index)
 {
-    this->told = std::max(this->told, index);
+    this->max_reported_index = std::max(this->max_reported_index, index);
 }
 
-void group_checker::read_asked(std::uint64_t token)
+void group_checker::record_read_request(std::uint64_t token)
 {
-    this->floors[token] = this->told;
+    this->min_read_index[token] = this->max_reported_index;
 }
 
-void group_checker::read_answered(host_id const& host, std::uint64_t token,
-                                  std::uint64_t index)
+void group_checker::record_read_answer(host_id const& host, std::uint64_t token,
+                                       std::uint64_t index)
 {
-    if (index < this->floors.at(token))
+    if (index < this->min_read_index.at(token))
     {
         this->fail(fmt::format("{} reads at {}, but {} was told before",
-                               host.text(), index, this->floors.at(token)));
+                               host.text(), index,
+                               this->min_read_index.at(token)));
     }
-    this->told = std::max(this->told, index);
+    this->max_reported_index = std::max(this->max_reported_index, index);
 }
 
 std::uint64_t group_checker::committed() const
@@ -110,11 +112,11 @@
     return this->log.size();
 }
 
-void group_checker::fail(std::string const& what)
+void group_checker::fail(std::string const& message)
 {
-    if (!this->breach.has_value())
+    if (!this->violation.has_value())
     {
-        this->breach = what;
+        this->violation = message;
     }
 }
 
--- a/tests/unit/agreement/group_checker.hpp
+++ b/tests/unit/agreement/group_checker.hpp
@@ -20,37 +20,37 @@
 {
 public:
     /// A host leads; in one term only one may.
-    void leads(host_id const& host, std::uint64_t term);
+    void record_leader(host_id const& host, std::uint64_t term);
 
     /// A host applies an entry as its `position`-th; everybody applies the
     /// same one there.
-    void applies(host_id const& host, std::uint64_t position,
-                 log_entry const& entry);
+    void record_apply(host_id const& host, std::uint64_t position,
+                      log_entry const& entry);
 
     /// A host takes a snapshot in; it stands for what was applied.
-    void restores(host_id const& host, snapshot const& whole);
+    void record_restore(host_id const& host, snapshot const& restored);
 
     /// What the state machine holds after so many entries.
     bytes state_at(std::uint64_t index) const;
 
     /// A proposal's asker heard "accepted".
-    void accepted(std::uint64_t index);
+    void record_accepted(std::uint64_t index);
 
     /// A read came in; it must see all that was told to anybody before.
-    void read_asked(std::uint64_t token);
+    void record_read_request(std::uint64_t token);
 
     /// A read was answered from a state that includes `index`.
-    void read_answered(host_id const& host, std::uint64_t token,
-                       std::uint64_t index);
+    void record_read_answer(host_id const& host, std::uint64_t token,
+                            std::uint64_t index);
 
     /// Highest index that anybody applied.
     std::uint64_t committed() const;
 
     /// Keeps a breach, if it is the first.
-    void fail(std::string const& what);
+    void fail(std::string const& message);
 
     /// The first breach.
-    std::optional<std::string> breach;
+    std::optional<std::string> violation;
 
 private:
     struct applied_row
@@ -61,8 +61,8 @@
 
     std::map<std::uint64_t, host_id> leaders;
     std::vector<applied_row> log;
-    std::map<std::uint64_t, std::uint64_t> floors;
-    std::uint64_t told = 0;
+    std::map<std::uint64_t, std::uint64_t> min_read_index;
+    std::uint64_t max_reported_index = 0;
 };
 
 } // namespace bilberrylead::agreement::tests
--- a/tests/unit/agreement/group_fixture.hpp
+++ b/tests/unit/agreement/group_fixture.hpp
@@ -14,19 +14,21 @@
 /// Three founders (and spares, if asked for) that have elected a leader.
 struct group_fixture : test_group
 {
-    explicit group_fixture(std::size_t founders = 3, std::size_t spares = 0,
-                           replica_settings const& pace = {},
-                           safeguards const& kept = {})
-        : test_group(founders, spares, 1, pace, kept)
+    explicit group_fixture(std::size_t initial_members = 3,
+                           std::size_t spare_hosts = 0,
+                           replica_settings const& group_settings = {},
+                           safeguards const& enabled = {})
+        : test_group(initial_members, spare_hosts, 1, group_settings, enabled)
     {
-        cr_assert(this->run_until_led(), "%s", this->describe().c_str());
+        cr_assert(this->run_until_leader_elected(), "%s",
+                  this->describe().c_str());
     }
 
     /// Proposes, delivers everything, and tells what became of it.
-    outcome settle(std::size_t place)
+    outcome propose_and_deliver(std::size_t host_index)
     {
-        std::uint64_t const token = this->propose_at(place);
-        this->carry_out_all(place);
+        std::uint64_t const token = this->propose_at(host_index);
+        this->carry_out_all(host_index);
         this->deliver_all();
         return this->outcome_of(token);
     }
@@ -34,18 +36,18 @@
     /// A host other than these.
     std::size_t other_than(std::size_t one, std::size_t another) const
     {
-        std::size_t place = 0;
-        while (place == one || place == another)
+        std::size_t host_index = 0;
+        while (host_index == one || host_index == another)
         {
-            ++place;
+            ++host_index;
         }
-        return place;
+        return host_index;
     }
 
-    void expect_no_breach() const
+    void expect_no_violation() const
     {
-        cr_assert_not(this->checker.breach.has_value(), "%s%s",
-                      this->checker.breach.value_or("").c_str(),
+        cr_assert_not(this->checker.violation.has_value(), "%s%s",
+                      this->checker.violation.value_or("").c_str(),
                       this->describe().c_str());
     }
 };
--- a/tests/unit/agreement/membership_test.cpp
+++ b/tests/unit/agreement/membership_test.cpp
@@ -18,17 +18,17 @@
 {
     group_fixture group(3, 1);
     std::size_t const leader = *group.leader();
-    group.settle(leader);
-    group.give(leader, membership_change_requested{change_token,
-                                                   membership_action::add_voter,
-                                                   group.hosts[3].id, 0});
+    group.propose_and_deliver(leader);
+    group.process(leader, membership_change_requested{
+                              change_token, membership_action::add_voter,
+                              group.hosts[3].id, 0});
     group.run_for(2s);
     cr_assert(group.outcome_of(change_token) == outcome::accepted);
     membership const& members = group.hosts[leader].replica->membership();
     cr_assert(members.is_voter(group.hosts[3].id, 1), "%s",
               group.describe().c_str());
     cr_assert_eq(members.quorum(), 3U);
-    group.expect_no_breach();
+    group.expect_no_violation();
 }
 
 Test(membership, second_change_before_the_first_is_committed_is_refused)
@@ -58,11 +58,11 @@
     std::size_t const live = group.other_than(leader, dead);
     group.crash(dead);
     group.run_for(2s);
-    group.give(leader, membership_change_requested{change_token,
-                                                   membership_action::remove,
-                                                   group.hosts[live].id, 0});
+    group.process(leader, membership_change_requested{change_token,
+                                                      membership_action::remove,
+                                                      group.hosts[live].id, 0});
     cr_assert(group.outcome_of(change_token) == outcome::refused);
-    cr_assert(group.settle(leader) == outcome::accepted);
+    cr_assert(group.propose_and_deliver(leader) == outcome::accepted);
 }
 
 Test(membership, leader_that_took_itself_out_alone_leads_until_it_is_settled)
@@ -73,15 +73,15 @@
     group_fixture group(2);
     std::size_t const leader = *group.leader();
     group.isolate(leader);
-    group.give(leader, membership_change_requested{change_token,
-                                                   membership_action::remove,
-                                                   group.hosts[leader].id, 0});
+    group.process(leader, membership_change_requested{
+                              change_token, membership_action::remove,
+                              group.hosts[leader].id, 0});
     group.run_for(3s);
     group.heal();
     group.run_for(10s);
     cr_assert(group.leader().has_value(), "%s", group.describe().c_str());
     cr_assert_neq(*group.leader(), leader);
-    group.expect_no_breach();
+    group.expect_no_violation();
 }
 
 Test(membership, leader_when_stopped_by_plan_hands_over_without_a_timeout)
@@ -90,10 +90,10 @@
     // leads within a few messages; callers do not wait out a timeout.
     group_fixture group;
     std::size_t const old = *group.leader();
-    group.give(old, handover_requested{});
+    group.process(old, handover_requested{});
     group.deliver_all();
     cr_assert(group.leader().has_value());
     cr_assert_neq(*group.leader(), old);
-    cr_assert(group.settle(*group.leader()) == outcome::accepted);
-    group.expect_no_breach();
+    cr_assert(group.propose_and_deliver(*group.leader()) == outcome::accepted);
+    group.expect_no_violation();
 }
--- a/tests/unit/agreement/safeguard_test.cpp
+++ b/tests/unit/agreement/safeguard_test.cpp
@@ -18,7 +18,7 @@
 
 /// The breach that a schedule shows with one safeguard switched off. With
 /// all of them on the same schedule must show none.
-std::string breach_without(bool safeguards::* safeguard, std::uint64_t seed)
+std::string violation_without(bool safeguards::* safeguard, std::uint64_t seed)
 {
     std::optional<std::string> const with =
         schedule(seed, safeguards()).run(steps);
@@ -30,12 +30,12 @@
 }
 
 /// Searches seeds from `first` on until a schedule shows a breach.
-void expect_breach_without(bool safeguards::* safeguard, std::uint64_t first,
-                           std::uint64_t count, std::string const& words)
+void expect_violation_without(bool safeguards::* safeguard, std::uint64_t first,
+                              std::uint64_t count, std::string const& words)
 {
     for (std::uint64_t seed = first; seed < first + count; ++seed)
     {
-        if (breach_without(safeguard, seed).find(words) != std::string::npos)
+        if (violation_without(safeguard, seed).find(words) != std::string::npos)
         {
             return;
         }
@@ -45,49 +45,49 @@
 
 /// The leader hears one follower only, and the other one wants to be
 /// elected. Gives the breach, if there is one.
-std::string read_beside_election(safeguards const& kept)
+std::string read_during_election(safeguards const& enabled)
 {
-    group_fixture group(3, 0, replica_settings(), kept);
+    group_fixture group(3, 0, replica_settings(), enabled);
     std::size_t const old = *group.leader();
     std::size_t const cut_off = group.other_than(old, old);
-    group.cut(old, cut_off);
-    group.cut(cut_off, old);
+    group.block_link(old, cut_off);
+    group.block_link(cut_off, old);
     for (int ticks = 0; ticks < 60; ++ticks)
     {
         group.run_for(group.settings.tick_interval);
-        if (group.hosts[cut_off].leads())
+        if (group.hosts[cut_off].is_leader())
         {
-            cr_assert(group.settle(cut_off) == outcome::accepted);
+            cr_assert(group.propose_and_deliver(cut_off) == outcome::accepted);
             break;
         }
     }
     group.read_at(old);
     group.carry_out_all(old);
-    return group.checker.breach.value_or("");
+    return group.checker.violation.value_or("");
 }
 
 /// The answers to the leader's last heartbeat come in one by one, each
 /// just in time to keep it from stepping down. Gives the breach, if any.
-std::string read_after_late_answers(safeguards const& kept)
+std::string read_after_late_answers(safeguards const& enabled)
 {
-    group_fixture group(3, 0, replica_settings(), kept);
+    group_fixture group(3, 0, replica_settings(), enabled);
     std::size_t const old = *group.leader();
     group.elapsed += group.settings.heartbeat_interval;
-    group.give(old, tick{});
+    group.process(old, tick{});
     for (int heartbeats = 0; heartbeats < 2; ++heartbeats)
     {
-        std::size_t const to = group.under_way.front().to;
+        std::size_t const to = group.in_flight.front().to;
         group.deliver(0);
         group.carry_out_all(to);
     }
     group.isolate(old);
     std::deque<envelope> late;
-    late.swap(group.under_way);
+    late.swap(group.in_flight);
     cr_assert_eq(late.size(), 2U);
     for (envelope const& answer : late)
     {
         group.run_for(7 * group.settings.tick_interval);
-        group.under_way.push_back(answer);
+        group.in_flight.push_back(answer);
         group.deliver_all();
     }
     for (int ticks = 0; ticks < 7 && *group.leader() == old; ++ticks)
@@ -95,73 +95,75 @@
         group.run_for(group.settings.tick_interval);
     }
     cr_assert_neq(*group.leader(), old);
-    cr_assert(group.settle(*group.leader()) == outcome::accepted);
+    cr_assert(group.propose_and_deliver(*group.leader()) == outcome::accepted);
     group.read_at(old);
     group.carry_out_all(old);
-    return group.checker.breach.value_or("");
+    return group.checker.violation.value_or("");
 }
 
 /// A change is accepted by the leader and one follower while the third host
 /// is cut off; then that follower's disk is lost and the leader is gone for
 /// a while. Gives the breach, if there is one.
-std::string lose_disk_of_the_second_copy(safeguards const& kept)
+std::string lose_disk_of_the_second_copy(safeguards const& enabled)
 {
-    group_fixture group(3, 0, replica_settings(), kept);
+    group_fixture group(3, 0, replica_settings(), enabled);
     std::size_t const leader = *group.leader();
     std::size_t const blank = group.other_than(leader, leader);
     group.isolate(group.other_than(leader, blank));
-    cr_assert(group.settle(leader) == outcome::accepted);
+    cr_assert(group.propose_and_deliver(leader) == outcome::accepted);
     group.crash(leader);
     group.crash(blank);
     group.lose_disk(blank);
     group.start(blank);
     group.heal();
     group.run_for(10s);
-    bool const led_without_it = group.leader().has_value();
+    bool const elected_without_leader = group.leader().has_value();
     group.start(leader);
     group.run_for(10s);
-    cr_assert_eq(led_without_it, !kept.incarnation_check);
-    if (kept.incarnation_check)
+    cr_assert_eq(elected_without_leader, !enabled.incarnation_check);
+    if (enabled.incarnation_check)
     {
-        cr_assert(group.settle(*group.leader()) == outcome::accepted);
+        cr_assert(group.propose_and_deliver(*group.leader()) ==
+                  outcome::accepted);
     }
-    return group.checker.breach.value_or("");
+    return group.checker.violation.value_or("");
 }
 
 } // namespace
 
 Test(safeguard, pre_vote_when_off_lets_a_lonely_host_raise_its_term)
 {
-    expect_breach_without(&safeguards::pre_vote, 0, 20, "hears nobody");
+    expect_violation_without(&safeguards::pre_vote, 0, 20, "hears nobody");
 }
 
 Test(safeguard, durable_vote_when_off_gives_a_term_two_leaders)
 {
-    expect_breach_without(&safeguards::durable_vote_before_answer, 2681, 1,
-                          "is led by");
+    expect_violation_without(&safeguards::durable_vote_before_answer, 2681, 1,
+                             "is led by");
 }
 
 Test(safeguard, durable_entries_when_off_loses_an_accepted_change)
 {
-    expect_breach_without(&safeguards::durable_entries_before_answer, 31, 1,
-                          "applies another entry");
+    expect_violation_without(&safeguards::durable_entries_before_answer, 31, 1,
+                             "applies another entry");
 }
 
 Test(safeguard, commit_of_own_term_when_off_overwrites_an_applied_entry)
 {
-    expect_breach_without(&safeguards::commit_own_term_only, 829, 1,
-                          "applies another entry");
+    expect_violation_without(&safeguards::commit_own_term_only, 829, 1,
+                             "applies another entry");
 }
 
 Test(safeguard, quorum_check_when_off_leaves_an_isolated_leader_in_office)
 {
-    expect_breach_without(&safeguards::quorum_check, 0, 100, "leads and hears");
+    expect_violation_without(&safeguards::quorum_check, 0, 100,
+                             "leads and hears");
 }
 
 Test(safeguard, one_change_at_a_time_when_off_overwrites_an_applied_entry)
 {
-    expect_breach_without(&safeguards::one_change_at_a_time, 271, 1,
-                          "applies another entry");
+    expect_violation_without(&safeguards::one_change_at_a_time, 271, 1,
+                             "applies another entry");
 }
 
 Test(safeguard, incarnation_check_when_off_loses_an_accepted_change)
@@ -182,10 +184,10 @@
     // helped into office while its own answers still kept the lease.
     safeguards without;
     without.vote_waits_for_lease = false;
-    cr_assert_neq(read_beside_election(without), "");
-    cr_assert_eq(read_beside_election(safeguards()), "");
-    expect_breach_without(&safeguards::vote_waits_for_lease, 5064, 1,
-                          "was told before");
+    cr_assert_neq(read_during_election(without), "");
+    cr_assert_eq(read_during_election(safeguards()), "");
+    expect_violation_without(&safeguards::vote_waits_for_lease, 5064, 1,
+                             "was told before");
 }
 
 Test(safeguard, lease_counted_from_arrival_makes_a_read_stale)
--- a/tests/unit/agreement/schedule.cpp
+++ b/tests/unit/agreement/schedule.cpp
@@ -14,65 +14,65 @@
 constexpr std::array profiles = {
     // A bit of everything.
     schedule_profile{.deliver = 56,
-                     .work = 8,
-                     .time = 15,
-                     .ask = 11,
-                     .kill = 4,
-                     .cut = 2,
+                     .carry_out = 8,
+                     .advance_time = 15,
+                     .request = 11,
+                     .crash = 4,
+                     .partition = 2,
                      .freeze = 1,
-                     .members = 2,
-                     .calm = 1,
-                     .crash_at_work = 1,
-                     .in_order = 60,
+                     .change_members = 2,
+                     .no_faults = 1,
+                     .crash_during_effects = 1,
+                     .oldest_first = 60,
                      .reads = 40,
-                     .longest_pause_ms = 150,
-                     .append_entries = 3},
+                     .max_time_step_ms = 150,
+                     .max_append_entries = 3},
     // Crashes and cuts while leaders change, an entry a message: votes that
     // are forgotten, entries of old terms.
     schedule_profile{.deliver = 50,
-                     .work = 8,
-                     .time = 22,
-                     .ask = 5,
-                     .kill = 10,
-                     .cut = 4,
+                     .carry_out = 8,
+                     .advance_time = 22,
+                     .request = 5,
+                     .crash = 10,
+                     .partition = 4,
                      .freeze = 1,
-                     .members = 0,
-                     .calm = 0,
-                     .crash_at_work = 8,
-                     .in_order = 75,
+                     .change_members = 0,
+                     .no_faults = 0,
+                     .crash_during_effects = 8,
+                     .oldest_first = 75,
                      .reads = 10,
-                     .longest_pause_ms = 400,
-                     .append_entries = 1},
+                     .max_time_step_ms = 400,
+                     .max_append_entries = 1},
     // Late answers, one-way cuts, freezes and many reads: leases.
     schedule_profile{.deliver = 46,
-                     .work = 3,
-                     .time = 17,
-                     .ask = 22,
-                     .kill = 1,
-                     .cut = 5,
+                     .carry_out = 3,
+                     .advance_time = 17,
+                     .request = 22,
+                     .crash = 1,
+                     .partition = 5,
                      .freeze = 6,
-                     .members = 0,
-                     .calm = 0,
-                     .crash_at_work = 0,
-                     .in_order = 80,
+                     .change_members = 0,
+                     .no_faults = 0,
+                     .crash_during_effects = 0,
+                     .oldest_first = 80,
                      .reads = 60,
-                     .longest_pause_ms = 120,
-                     .append_entries = 3},
+                     .max_time_step_ms = 120,
+                     .max_append_entries = 3},
     // Changes of membership on top of one another.
     schedule_profile{.deliver = 52,
-                     .work = 8,
-                     .time = 17,
-                     .ask = 7,
-                     .kill = 5,
-                     .cut = 3,
+                     .carry_out = 8,
+                     .advance_time = 17,
+                     .request = 7,
+                     .crash = 5,
+                     .partition = 3,
                      .freeze = 1,
-                     .members = 7,
-                     .calm = 0,
-                     .crash_at_work = 3,
-                     .in_order = 70,
+                     .change_members = 7,
+                     .no_faults = 0,
+                     .crash_during_effects = 3,
+                     .oldest_first = 70,
                      .reads = 20,
-                     .longest_pause_ms = 250,
-                     .append_entries = 2},
+                     .max_time_step_ms = 250,
+                     .max_append_entries = 2},
 };
 
 schedule_profile const& profile_of(std::uint64_t seed)
@@ -81,10 +81,10 @@
 }
 
 /// Small bounds, so that a run of a few hundred steps meets all of them.
-replica_settings tight_settings(std::uint64_t seed)
+replica_settings small_limits(std::uint64_t seed)
 {
     replica_settings settings;
-    settings.max_append_entries = profile_of(seed).append_entries;
+    settings.max_append_entries = profile_of(seed).max_append_entries;
     settings.max_append_bytes = 10;
     settings.max_inflight_entries = 7;
     settings.snapshot_threshold = 12;
@@ -94,45 +94,45 @@
     return settings;
 }
 
-std::size_t founders_of(std::uint64_t seed)
+std::size_t initial_members_of(std::uint64_t seed)
 {
     return seed / profiles.size() % 3 == 0 ? 5 : 3;
 }
 
-std::size_t spares_of(std::uint64_t seed)
+std::size_t spare_hosts_of(std::uint64_t seed)
 {
-    return profile_of(seed).members == 0 ? 0 : 1 + seed / 12 % 2;
+    return profile_of(seed).change_members == 0 ? 0 : 1 + seed / 12 % 2;
 }
 
 } // namespace
 
-schedule::schedule(std::uint64_t seed, safeguards const& kept)
+schedule::schedule(std::uint64_t seed, safeguards const& enabled)
     : random(seed), profile(profile_of(seed)),
-      group(founders_of(seed), spares_of(seed), seed, tight_settings(seed),
-            kept)
+      group(initial_members_of(seed), spare_hosts_of(seed), seed,
+            small_limits(seed), enabled)
 {
     // Clocks that differ by up to four in a hundred either way.
-    constexpr std::int64_t slowest = 960;
+    constexpr std::int64_t min_clock_rate = 960;
     constexpr std::size_t spread = 81;
     for (test_host& host : this->group.hosts)
     {
         host.clock_rate =
-            slowest + static_cast<std::int64_t>(this->draw(spread));
+            min_clock_rate + static_cast<std::int64_t>(this->draw(spread));
     }
 }
 
 std::optional<std::string> schedule::run(std::size_t steps)
 {
     this->group.run_for(std::chrono::milliseconds(this->draw(3000)));
-    for (std::size_t done = 0; done < steps && !this->has_breach(); ++done)
+    for (std::size_t done = 0; done < steps && !this->has_violation(); ++done)
     {
         this->step();
     }
-    if (!this->has_breach())
+    if (!this->has_violation())
     {
         this->recover();
     }
-    return this->group.checker.breach;
+    return this->group.checker.violation;
 }
 
 std::string schedule::describe() const
@@ -148,15 +148,15 @@
         void (schedule::*act)();
     };
     std::array const choices = {
-        choice{this->profile.deliver, &schedule::deliver_some},
-        choice{this->profile.work, &schedule::work_one},
-        choice{this->profile.time, &schedule::pass_time},
-        choice{this->profile.ask, &schedule::ask_something},
-        choice{this->profile.kill, &schedule::kill_or_start},
-        choice{this->profile.cut, &schedule::cut_or_heal},
+        choice{this->profile.deliver, &schedule::deliver_messages},
+        choice{this->profile.carry_out, &schedule::carry_out_some},
+        choice{this->profile.advance_time, &schedule::advance_time},
+        choice{this->profile.request, &schedule::send_requests},
+        choice{this->profile.crash, &schedule::crash_or_start},
+        choice{this->profile.partition, &schedule::change_partitions},
         choice{this->profile.freeze, &schedule::freeze_or_thaw},
-        choice{this->profile.members, &schedule::change_members},
-        choice{this->profile.calm, &schedule::calm_down},
+        choice{this->profile.change_members, &schedule::change_members},
+        choice{this->profile.no_faults, &schedule::run_without_faults},
     };
     std::size_t drawn = this->draw(100);
     for (choice const& one : choices)
@@ -170,35 +170,35 @@
     }
 }
 
-void schedule::calm_down()
+void schedule::run_without_faults()
 {
     this->group.run_for(std::chrono::milliseconds(this->draw(1500)));
 }
 
 /// Carries out what is due at a host; now and then it crashes on the way,
 /// between any two effects.
-void schedule::work_on(std::size_t place)
+void schedule::carry_out_or_crash(std::size_t host_index)
 {
-    test_host const& host = this->group.hosts.at(place);
-    bool const crashes =
-        host.due.size() > 1 && this->chance(this->profile.crash_at_work);
+    test_host const& host = this->group.hosts.at(host_index);
+    bool const crashes = host.pending_effects.size() > 1 &&
+                         this->chance(this->profile.crash_during_effects);
     if (!crashes)
     {
-        this->group.carry_out_all(place);
+        this->group.carry_out_all(host_index);
         return;
     }
-    this->group.carry_out(place, this->draw(host.due.size()));
-    this->group.crash(place, this->draw(host.disk.unsynced_writes() + 1));
+    this->group.carry_out(host_index, this->draw(host.pending_effects.size()));
+    this->group.crash(host_index, this->draw(host.disk.unsynced_writes() + 1));
     if (this->chance(70))
     {
-        this->group.start(place);
+        this->group.start(host_index);
     }
 }
 
-void schedule::deliver_some()
+void schedule::deliver_messages()
 {
-    constexpr std::size_t most = 9;
-    for (std::size_t left = 1 + this->draw(most); left > 0; --left)
+    constexpr std::size_t max_count = 9;
+    for (std::size_t left = 1 + this->draw(max_count); left > 0; --left)
     {
         this->deliver_one();
     }
@@ -206,78 +206,81 @@
 
 void schedule::deliver_one()
 {
-    if (this->group.under_way.empty())
+    if (this->group.in_flight.empty())
     {
         return;
     }
     std::size_t const oldest = 0;
-    std::size_t const place = this->chance(this->profile.in_order)
-                                  ? oldest
-                                  : this->draw(this->group.under_way.size());
-    std::size_t const to = this->group.under_way.at(place).to;
-    constexpr std::size_t held_back = 85;
-    if (this->slow_receiver == to && this->chance(held_back))
+    std::size_t const host_index =
+        this->chance(this->profile.oldest_first)
+            ? oldest
+            : this->draw(this->group.in_flight.size());
+    std::size_t const to = this->group.in_flight.at(host_index).to;
+    constexpr std::size_t hold_back_percent = 85;
+    if (this->slow_receiver == to && this->chance(hold_back_percent))
     {
         return;
     }
     if (this->chance(4))
     {
-        this->group.under_way.erase(this->group.under_way.begin() +
-                                    static_cast<std::ptrdiff_t>(place));
+        this->group.in_flight.erase(this->group.in_flight.begin() +
+                                    static_cast<std::ptrdiff_t>(host_index));
         return;
     }
-    constexpr std::size_t most = 4;
+    constexpr std::size_t max_count = 4;
     if (this->chance(15))
     {
-        this->group.deliver_batch(to, most);
+        this->group.deliver_batch(to, max_count);
     }
     else
     {
-        this->group.deliver(place, this->chance(8));
+        this->group.deliver(host_index, this->chance(8));
     }
-    if (this->group.hosts.at(to).runs() && this->chance(80))
+    if (this->group.hosts.at(to).is_running() && this->chance(80))
     {
-        this->work_on(to);
+        this->carry_out_or_crash(to);
     }
 }
 
-void schedule::work_one()
+void schedule::carry_out_some()
 {
-    std::size_t const place = this->any_host();
-    test_host const& host = this->group.hosts.at(place);
-    if (host.runs())
+    std::size_t const host_index = this->any_host();
+    test_host const& host = this->group.hosts.at(host_index);
+    if (host.is_running())
     {
-        this->group.carry_out(place, this->draw(host.due.size() + 1));
+        this->group.carry_out(host_index,
+                              this->draw(host.pending_effects.size() + 1));
     }
 }
 
-void schedule::pass_time()
+void schedule::advance_time()
 {
     this->group.elapsed += std::chrono::milliseconds(
-        1 + this->draw(this->profile.longest_pause_ms));
-    for (std::size_t place = 0; place < this->group.hosts.size(); ++place)
+        1 + this->draw(this->profile.max_time_step_ms));
+    for (std::size_t host_index = 0; host_index < this->group.hosts.size();
+         ++host_index)
     {
-        if (this->group.hosts.at(place).runs() && this->chance(80))
+        if (this->group.hosts.at(host_index).is_running() && this->chance(80))
         {
-            this->group.reduce(place, tick{});
+            this->group.reduce(host_index, tick{});
             if (this->chance(85))
             {
-                this->group.carry_out_all(place);
+                this->group.carry_out_all(host_index);
             }
         }
     }
 }
 
-void schedule::ask_something()
+void schedule::send_requests()
 {
     std::optional<std::size_t> const leader = this->any_leader();
     if (!leader.has_value())
     {
         return;
     }
-    constexpr std::size_t most = 3;
+    constexpr std::size_t max_count = 3;
     std::vector<event> events;
-    for (std::size_t left = 1 + this->draw(most); left > 0; --left)
+    for (std::size_t left = 1 + this->draw(max_count); left > 0; --left)
     {
         events.push_back(this->chance(this->profile.reads)
                              ? this->group.new_read()
@@ -290,27 +293,27 @@
     }
 }
 
-void schedule::kill_or_start()
+void schedule::crash_or_start()
 {
-    std::size_t const place = this->leader_or_other();
-    test_host& host = this->group.hosts.at(place);
+    std::size_t const host_index = this->leader_or_other();
+    test_host& host = this->group.hosts.at(host_index);
     if (host.replica != nullptr)
     {
         if (this->chance(30))
         {
-            this->group.crash(place,
+            this->group.crash(host_index,
                               this->draw(host.disk.unsynced_writes() + 1));
         }
         return;
     }
-    if (this->may_lose_disk(place) && this->chance(40))
+    if (this->may_lose_disk(host_index) && this->chance(40))
     {
-        this->group.lose_disk(place);
+        this->group.lose_disk(host_index);
     }
-    this->group.start(place);
+    this->group.start(host_index);
 }
 
-void schedule::cut_or_heal()
+void schedule::change_partitions()
 {
     if (this->chance(60))
     {
@@ -322,7 +325,7 @@
     }
     else
     {
-        this->group.cut(this->leader_or_other(), this->any_host());
+        this->group.block_link(this->leader_or_other(), this->any_host());
     }
 }
 
@@ -333,9 +336,9 @@
     {
         this->slow_receiver = this->leader_or_other();
     }
-    std::size_t const place = this->any_host();
-    test_host& host = this->group.hosts.at(place);
-    host.frozen = host.runs() && this->chance(30);
+    std::size_t const host_index = this->any_host();
+    test_host& host = this->group.hosts.at(host_index);
+    host.frozen = host.is_running() && this->chance(30);
 }
 
 void schedule::change_members()
@@ -351,8 +354,8 @@
         return;
     }
     constexpr std::size_t actions = 3;
-    std::size_t const place = this->any_host();
-    test_host const& host = this->group.hosts.at(place);
+    std::size_t const host_index = this->any_host();
+    test_host const& host = this->group.hosts.at(host_index);
     std::uint64_t const incarnation = this->chance(50) ? host.incarnation : 0;
     constexpr std::uint64_t no_token = 0;
     this->group.reduce(*leader,
@@ -365,9 +368,9 @@
 /// A host may lose its disk only while the others are up and agree on a
 /// membership of three voters or more, all with the disks they are listed
 /// with: the group tolerates one loss, and no change on top of it.
-bool schedule::may_lose_disk(std::size_t place) const
+bool schedule::may_lose_disk(std::size_t host_index) const
 {
-    constexpr std::size_t least_voters = 3;
+    constexpr std::size_t min_voters = 3;
     std::optional<std::size_t> const leader = this->group.leader();
     if (!leader.has_value() || this->has_unsettled_disk())
     {
@@ -380,12 +383,12 @@
         test_host const& host = this->group.hosts.at(other);
         bool const agrees =
             host.replica != nullptr && host.replica->membership() == members;
-        if (other != place && members.find(host.id) != nullptr && !agrees)
+        if (other != host_index && members.find(host.id) != nullptr && !agrees)
         {
             return false;
         }
     }
-    return members.voters() >= least_voters;
+    return members.voters() >= min_voters;
 }
 
 /// True while some host has a disk that the leader does not list yet.
@@ -412,27 +415,28 @@
 {
     this->group.heal();
     this->slow_receiver.reset();
-    for (std::size_t place = 0; place < this->group.hosts.size(); ++place)
+    for (std::size_t host_index = 0; host_index < this->group.hosts.size();
+         ++host_index)
     {
-        test_host& host = this->group.hosts.at(place);
+        test_host& host = this->group.hosts.at(host_index);
         host.frozen = false;
         if (host.replica == nullptr)
         {
-            this->group.start(place);
+            this->group.start(host_index);
         }
-        this->group.carry_out_all(place);
+        this->group.carry_out_all(host_index);
     }
-    if (!this->accepts_again() && !this->has_breach())
+    if (!this->accepts_proposals_again() && !this->has_violation())
     {
         this->group.checker.fail("the group does not recover:" +
                                  this->group.describe());
     }
 }
 
-bool schedule::accepts_again()
+bool schedule::accepts_proposals_again()
 {
-    constexpr int most_rounds = 60;
-    for (int round = 0; round < most_rounds && !this->has_breach(); ++round)
+    constexpr int max_rounds = 60;
+    for (int round = 0; round < max_rounds && !this->has_violation(); ++round)
     {
         this->group.run_for(std::chrono::seconds(1));
         std::optional<std::size_t> const leader = this->group.leader();
@@ -473,9 +477,9 @@
         });
 }
 
-bool schedule::has_breach() const
+bool schedule::has_violation() const
 {
-    return this->group.checker.breach.has_value();
+    return this->group.checker.violation.has_value();
 }
 
 std::size_t schedule::draw(std::size_t below)
@@ -506,11 +510,12 @@
     std::size_t const first = this->any_host();
     for (std::size_t turn = 0; turn < this->group.hosts.size(); ++turn)
     {
-        std::size_t const place = (first + turn) % this->group.hosts.size();
-        test_host const& host = this->group.hosts.at(place);
-        if (host.runs() && host.leads())
+        std::size_t const host_index =
+            (first + turn) % this->group.hosts.size();
+        test_host const& host = this->group.hosts.at(host_index);
+        if (host.is_running() && host.is_leader())
         {
-            return place;
+            return host_index;
         }
     }
     return std::nullopt;
--- a/tests/unit/agreement/schedule.hpp
+++ b/tests/unit/agreement/schedule.hpp
@@ -23,7 +23,7 @@
 {
 public:
     /// Draws the group from the seed.
-    schedule(std::uint64_t seed, safeguards const& kept);
+    schedule(std::uint64_t seed, safeguards const& enabled);
 
     /// Takes so many random steps, then ends all faults and expects the
     /// group to accept again. Gives the first breach.
@@ -34,23 +34,23 @@
 
 private:
     void step();
-    void calm_down();
-    void work_on(std::size_t place);
-    void deliver_some();
+    void run_without_faults();
+    void carry_out_or_crash(std::size_t host_index);
+    void deliver_messages();
     void deliver_one();
-    void work_one();
-    void pass_time();
-    void ask_something();
-    void kill_or_start();
-    void cut_or_heal();
+    void carry_out_some();
+    void advance_time();
+    void send_requests();
+    void crash_or_start();
+    void change_partitions();
     void freeze_or_thaw();
     void change_members();
     void recover();
-    bool accepts_again();
-    bool may_lose_disk(std::size_t place) const;
+    bool accepts_proposals_again();
+    bool may_lose_disk(std::size_t host_index) const;
     bool has_unsettled_disk() const;
     bool all_caught_up() const;
-    bool has_breach() const;
+    bool has_violation() const;
 
     std::size_t draw(std::size_t below);
     bool chance(std::size_t percent);
--- a/tests/unit/agreement/schedule_test.cpp
+++ b/tests/unit/agreement/schedule_test.cpp
@@ -15,18 +15,18 @@
 constexpr std::size_t steps = 1000;
 
 /// How many schedules one test runs; the tests run side by side.
-constexpr std::uint64_t share = 1300;
+constexpr std::uint64_t seeds_per_test = 1300;
 
 /// Runs the share of schedules with this number.
-void expect_no_breach(std::uint64_t number)
+void expect_no_violation(std::uint64_t number)
 {
-    for (std::uint64_t seed = number * share; seed < (number + 1) * share;
-         ++seed)
+    for (std::uint64_t seed = number * seeds_per_test;
+         seed < (number + 1) * seeds_per_test; ++seed)
     {
-        std::optional<std::string> const breach =
+        std::optional<std::string> const violation =
             schedule(seed, safeguards()).run(steps);
-        cr_assert_not(breach.has_value(), "seed %lu: %s", seed,
-                      breach.value_or("").c_str());
+        cr_assert_not(violation.has_value(), "seed %lu: %s", seed,
+                      violation.value_or("").c_str());
     }
 }
 
@@ -34,42 +34,42 @@
 
 Test(schedules, share_0_when_run_shows_no_breach)
 {
-    expect_no_breach(0);
+    expect_no_violation(0);
 }
 
 Test(schedules, share_1_when_run_shows_no_breach)
 {
-    expect_no_breach(1);
+    expect_no_violation(1);
 }
 
 Test(schedules, share_2_when_run_shows_no_breach)
 {
-    expect_no_breach(2);
+    expect_no_violation(2);
 }
 
 Test(schedules, share_3_when_run_shows_no_breach)
 {
-    expect_no_breach(3);
+    expect_no_violation(3);
 }
 
 Test(schedules, share_4_when_run_shows_no_breach)
 {
-    expect_no_breach(4);
+    expect_no_violation(4);
 }
 
 Test(schedules, share_5_when_run_shows_no_breach)
 {
-    expect_no_breach(5);
+    expect_no_violation(5);
 }
 
 Test(schedules, share_6_when_run_shows_no_breach)
 {
-    expect_no_breach(6);
+    expect_no_violation(6);
 }
 
 Test(schedules, share_7_when_run_shows_no_breach)
 {
-    expect_no_breach(7);
+    expect_no_violation(7);
 }
 
 Test(schedules, seed_when_run_twice_does_the_same)
--- a/tests/unit/agreement/snapshot_test.cpp
+++ b/tests/unit/agreement/snapshot_test.cpp
@@ -18,11 +18,12 @@
 /// A group of one, which commits at once.
 struct sole_replica
 {
-    explicit sole_replica(replica_settings const& pace)
-        : one(host_id("a"), 1, pace, 1)
+    explicit sole_replica(replica_settings const& settings)
+        : one(host_id("a"), 1, settings, 1)
     {
         started first;
-        first.founding = membership{{member{host_id("a"), 1, true, false}}};
+        first.initial_membership =
+            membership{{member{host_id("a"), 1, true, false}}};
         this->one.reduce(first, instant());
         this->one.reduce(tick{}, instant(std::chrono::seconds(2)));
         cr_assert(this->one.role() == role::leader);
@@ -31,17 +32,17 @@
     /// Proposes; gives the index a snapshot is asked for at, if it is.
     std::optional<std::uint64_t> propose_one()
     {
-        std::optional<std::uint64_t> asked;
+        std::optional<std::uint64_t> requested;
         for (effect const& made :
              this->one.reduce(propose{1, bytes(3)}, this->now))
         {
             if (take_snapshot const* const wanted =
                     std::get_if<take_snapshot>(&made))
             {
-                asked = wanted->index;
+                requested = wanted->index;
             }
         }
-        return asked;
+        return requested;
     }
 
     replica one;
@@ -55,19 +56,19 @@
     // The state machine outgrew the bound. Its snapshots are not kept; if
     // each entry asked for the next one, encoding them would take the
     // leader's whole time and callers would see an outage.
-    replica_settings pace;
-    pace.snapshot_threshold = 10;
-    pace.max_snapshot_bytes = 4;
-    sole_replica sole(pace);
-    std::size_t asked = 0;
+    replica_settings settings;
+    settings.snapshot_threshold = 10;
+    settings.max_snapshot_bytes = 4;
+    sole_replica sole(settings);
+    std::size_t requested = 0;
     for (int entries = 0; entries < 40; ++entries)
     {
         std::optional<std::uint64_t> const index = sole.propose_one();
         if (index.has_value())
         {
-            ++asked;
+            ++requested;
             sole.one.reduce(snapshot_taken{*index, bytes(5)}, sole.now);
         }
     }
-    cr_assert_eq(asked, 4U);
+    cr_assert_eq(requested, 4U);
 }
--- a/tests/unit/agreement/test_host.hpp
+++ b/tests/unit/agreement/test_host.hpp
@@ -27,11 +27,11 @@
     /// Its data folder.
     fake_disk disk;
     /// Effects that are not carried out yet.
-    std::deque<effect> due;
+    std::deque<effect> pending_effects;
     /// A frozen process takes no event and carries nothing out.
     bool frozen = false;
     /// Founders start a blank disk with the group's first membership.
-    bool founder = false;
+    bool initial_member = false;
     /// How fast its clock runs, in thousandths of the real rate.
     std::int64_t clock_rate = 1000;
     /// Last index its state machine includes.
@@ -39,20 +39,20 @@
     /// Highest commit index of this process.
     std::uint64_t committed = 0;
     /// Campaigns of its own since a message last reached it.
-    std::size_t unheard_campaigns = 0;
+    std::size_t campaigns_without_contact = 0;
     /// When, by its own clock, a message of a host last arrived.
-    std::map<host_id, instant> heard;
+    std::map<host_id, instant> last_received_at;
     /// When, by its own clock, it began to lead; meaningful for a leader.
-    instant leads_since;
+    instant leader_since;
 
     /// True if it can take an event.
-    bool runs() const
+    bool is_running() const
     {
         return this->replica != nullptr && !this->frozen;
     }
 
     /// True if it believes to lead.
-    bool leads() const
+    bool is_leader() const
     {
         return this->replica != nullptr &&
                this->replica->role() == role::leader;
--- a/tests/unit/control/control_group.hpp
+++ b/tests/unit/control/control_group.hpp
@@ -42,10 +42,11 @@
     control_group()
     {
         agreement::started recovered;
-        recovered.founding.emplace();
+        recovered.initial_membership.emplace();
         for (std::size_t place = 0; place < hosts; ++place)
         {
-            recovered.founding->put({control_host(place), 1, true, false});
+            recovered.initial_membership->put(
+                {control_host(place), 1, true, false});
             control::control_reducer_settings settings;
             settings.self = control_host(place);
             settings.planner.emplace();
