--- a/bilberrylead/agreement/append_receiver.cpp
+++ b/bilberrylead/agreement/append_receiver.cpp
@@ -28,8 +28,8 @@
     }
     this->store(request);
 
-    // Only what this very message showed to agree may count: the log may
-    // hold more, from a leader that lost its office.
+    // Only the prefix that this request verified may be committed: the log may
+    // hold further entries from a leader that has since been deposed.
     std::uint64_t const agreed =
         request.previous_index + request.entries.size();
     this->applier.commit_through(std::min(request.commit_index, agreed));
@@ -60,7 +60,7 @@
 
 bool append_receiver::fits(append_request const& request) const
 {
-    // Committed entries agree with every leader's log.
+    // Committed entries are the same in every leader's log.
     if (request.previous_index <= this->core.commit_index)
     {
         return true;
@@ -69,8 +69,8 @@
            request.previous_term;
 }
 
-/// Names the start of the run that does not agree, so that the leader goes
-/// back a term at a time and not an entry at a time.
+/// Sets retry_index to the start of the conflicting run of entries with one
+/// term, so that the leader backs up one term at a time instead of one entry.
 void append_receiver::reject(host_id const& from, append_request const& request)
 {
     replica_log const& log = this->core.log;
--- a/bilberrylead/agreement/append_receiver.hpp
+++ b/bilberrylead/agreement/append_receiver.hpp
@@ -11,15 +11,16 @@
 namespace bilberrylead::agreement
 {
 
-/// A follower's side of append_request. The sender is known to lead in the
-/// present term.
+/// Follower's side of append_request. The caller has checked that the sender is
+/// the leader of the current term.
 class append_receiver
 {
 public:
-    /// Works on the replica's shared state.
+    /// Keeps references to both; they must outlive this object.
     append_receiver(replica_core& shared, log_applier& to_apply);
 
-    /// Takes in what fits and answers.
+    /// Appends the entries if the log matches at previous_index, advances the
+    /// commit index and replies. Ignores a malformed request.
     void on_append_request(host_id const& from, append_request const& request);
 
 private:
--- a/bilberrylead/agreement/append_sender.cpp
+++ b/bilberrylead/agreement/append_sender.cpp
@@ -44,7 +44,8 @@
         return;
     }
 
-    // A dead member gets no entries again and again, just a question.
+    // An unresponsive member gets an empty probe instead of the same entries
+    // again and again.
     std::size_t const entries = this->replied_recently(peer)
                                     ? this->core.settings.max_append_entries
                                     : 0;
@@ -63,7 +64,7 @@
             return;
         }
 
-        // Every log agrees at index 0, so that this one is never rejected.
+        // All logs match at index 0, so this append is never rejected.
         this->send_append(peer, 0, 0);
         return;
     }
@@ -122,9 +123,10 @@
     request.previous_index = previous_index;
     request.previous_term = this->core.log.term_at(previous_index).value_or(0);
 
-    // This leaves beside the sync. A sole voter commits in the call that
-    // writes; told now and lost in a crash, the entry would be applied at
-    // a learner and nowhere else.
+    // This message leaves before the sync. A sole voter commits in the same
+    // call that writes the entry; if that commit index were sent now and the
+    // entry lost in a crash, a learner would have applied an entry that the
+    // voter no longer has.
     request.commit_index =
         std::min(this->core.commit_index, this->core.durable_index);
     if (max_entries > 0)
--- a/bilberrylead/agreement/append_sender.hpp
+++ b/bilberrylead/agreement/append_sender.hpp
@@ -11,23 +11,25 @@
 namespace bilberrylead::agreement
 {
 
-/// A leader's side of append_request and install_snapshot_request.
+/// Leader's side of append_request and install_snapshot_request.
 class append_sender
 {
 public:
-    /// Works on the replica's shared state.
+    /// Keeps references to both; they must outlive this object.
     append_sender(replica_core& shared, send_rounds& numbering);
 
-    /// Sends what the member is known to lack, as far as may be under way.
+    /// Sends the entries that the member is missing, up to the in-flight limit;
+    /// starts a snapshot transfer if the log no longer holds them.
     void send_entries(peer_progress& peer);
 
-    /// Sends one append, or chunk, and waits for the answer to it.
+    /// Sends a single append, or the first snapshot chunk. No further entries
+    /// are sent until the member replies.
     void send_probe(peer_progress& peer);
 
-    /// Sends a heartbeat; it also brings back whatever got lost.
+    /// Sends a heartbeat. It also resends a lost probe or snapshot chunk.
     void send_heartbeat(peer_progress& peer);
 
-    /// Sends the next chunk of the snapshot under way.
+    /// Sends the next chunk of the snapshot transfer in progress.
     void send_chunk(peer_progress& peer);
 
 private:
--- a/bilberrylead/agreement/codec.cpp
+++ b/bilberrylead/agreement/codec.cpp
@@ -3,6 +3,7 @@
 #include "bilberrylead/agreement/record_json.hpp"
 #include "bilberrylead/core/error.hpp"
 
+#include <fmt/format.h>
 #include <nlohmann/json.hpp>
 
 #include <exception>
@@ -17,13 +18,13 @@
 
 using nlohmann::json;
 
-/// Deeper nesting is refused before it is built: the library descends by
-/// recursion, and a message of nothing but opened arrays would run the
-/// stack over.
+/// Maximum nesting depth, checked before any value is built: the JSON library
+/// parses recursively, and a message of nothing but opening arrays would
+/// overflow the stack.
 constexpr std::size_t max_depth = 8;
 
-/// Reads through the data without building anything, and stops at the
-/// first thing that is too deep or malformed.
+/// SAX handler that builds nothing and stops at the first element that is
+/// malformed or nested too deeply.
 class depth_check
 {
 public:
@@ -106,14 +107,18 @@
     if (data.size() > max_encoded_bytes)
     {
         return make_error(error_kind::bad_value,
-                          "The record is larger than any the system writes.",
-                          "Check who sends it.");
+                          fmt::format("The record has {} bytes, more than the "
+                                      "maximum of {}.",
+                                      data.size(), max_encoded_bytes),
+                          "Check which peer or file it came from.");
     }
     absl::Status malformed =
-        make_error(error_kind::syntax, "The record is not the CBOR expected.",
+        make_error(error_kind::syntax,
+                   "The record is not valid CBOR or is nested too deeply.",
                    "Check that both ends run the same version.");
 
-    // Declared lengths beyond all memory throw in spite of the flag.
+    // A declared length beyond available memory throws even with
+    // allow_exceptions set to false.
     try
     {
         depth_check check;
--- a/bilberrylead/agreement/codec.hpp
+++ b/bilberrylead/agreement/codec.hpp
@@ -16,41 +16,41 @@
 namespace bilberrylead::agreement
 {
 
-/// Largest encoded record that is decoded at all: a snapshot of the largest
-/// size that replica_settings lets in, with its header.
+/// Largest encoded record that is decoded, in bytes: a snapshot of the largest
+/// size that replica_settings allows, plus its header.
 inline constexpr std::size_t max_encoded_bytes = 257UL * 1024 * 1024;
 
-/// CBOR of a message between replicas.
+/// Encodes a message between replicas as CBOR.
 bytes encode_message(message const& value);
 
-/// Reads a message; any bytes are safe to pass. Gives errors of the kinds
-/// syntax, missing_field and bad_value.
+/// Decodes a message; safe for arbitrary input. Errors: syntax, missing_field
+/// and bad_value.
 absl::StatusOr<message> decode_message(std::span<std::uint8_t const> data);
 
-/// CBOR of a membership, the payload of a membership entry.
+/// Encodes a membership as CBOR: the payload of a membership entry.
 bytes encode_membership(membership const& value);
 
-/// Reads a membership; errors as decode_message.
+/// Decodes a membership; errors as decode_message.
 absl::StatusOr<membership>
 decode_membership(std::span<std::uint8_t const> data);
 
-/// CBOR of a log entry, for the journal.
+/// Encodes a log entry as CBOR for the journal.
 bytes encode_entry(log_entry const& value);
 
-/// Reads a log entry; errors as decode_message.
+/// Decodes a log entry; errors as decode_message.
 absl::StatusOr<log_entry> decode_entry(std::span<std::uint8_t const> data);
 
-/// CBOR of term and vote, for the journal.
+/// Encodes term, vote and commit index as CBOR for the journal.
 bytes encode_hard_state(hard_state const& value);
 
-/// Reads term and vote; errors as decode_message.
+/// Decodes term, vote and commit index; errors as decode_message.
 absl::StatusOr<hard_state>
 decode_hard_state(std::span<std::uint8_t const> data);
 
-/// CBOR of a snapshot, for the data folder.
+/// Encodes a snapshot as CBOR for the data folder.
 bytes encode_snapshot(snapshot const& value);
 
-/// Reads a snapshot; errors as decode_message.
+/// Decodes a snapshot; errors as decode_message.
 absl::StatusOr<snapshot> decode_snapshot(std::span<std::uint8_t const> data);
 
 } // namespace bilberrylead::agreement
--- a/bilberrylead/agreement/effect.hpp
+++ b/bilberrylead/agreement/effect.hpp
@@ -22,8 +22,9 @@
 namespace bilberrylead::agreement
 {
 
-/// What a replica wants done. Carried out strictly in order, those of one
-/// call after those of the call before.
+/// An action that the replica requests from its host program. Effects are
+/// executed strictly in order, those of one call after those of the previous
+/// call.
 using effect =
     std::variant<persist_hard_state, append_entries, persist_snapshot,
                  drop_log_prefix, sync, send, apply, restore, proposal_accepted,
--- a/bilberrylead/agreement/effect_collector.cpp
+++ b/bilberrylead/agreement/effect_collector.cpp
@@ -72,7 +72,7 @@
     bool const has_writes = !this->writes.empty();
     move_to_end(all, this->writes);
 
-    // A new leader's first append tells of a term that is not durable yet.
+    // The first append of a new leader carries a term that is not durable yet.
     if (!this->hard_state_written)
     {
         move_to_end(all, this->before_sync);
--- a/bilberrylead/agreement/effect_collector.hpp
+++ b/bilberrylead/agreement/effect_collector.hpp
@@ -8,28 +8,30 @@
 namespace bilberrylead::agreement
 {
 
-/// Puts the effects of one call in an order in which nothing is told that
-/// is not durable: writes, then what may go beside the sync, the sync if
-/// there was a write, then the rest in the order of adding.
+/// Orders the effects of one call so that nothing is sent or reported before it
+/// is durable: writes; sends that may overlap the sync; the sync, if there was
+/// a write; then everything else in the order in which it was added.
 class effect_collector
 {
 public:
-    /// Adds a write. Entries that follow on those before are joined.
+    /// Adds a write. Entries that directly follow those of the previous write
+    /// are merged into it.
     void write(effect next);
 
-    /// Adds a send that tells nothing about the sender's disk, so that the
-    /// members' disks work side by side. With a new term or vote in the
-    /// same call it waits for the sync like the rest.
+    /// Adds a send that reveals nothing about the sender's disk. It leaves
+    /// before the sync, so that the disks of all members work in parallel. If
+    /// this call also writes a new term or vote, the send waits for the sync.
     void send_before_sync(send next);
 
-    /// Adds an effect that waits for the writes of this call.
+    /// Adds an effect that is executed after the writes of this call are
+    /// synced.
     void add(effect next);
 
-    /// Adds an effect ahead of all writes: only for switched-off
-    /// safeguards.
+    /// Adds an effect that is executed before all writes; used only with a
+    /// safeguard switched off.
     void add_before_writes(effect next);
 
-    /// Hands out everything and starts afresh.
+    /// Returns the effects of the call in order and clears the collector.
     std::vector<effect> take_all();
 
 private:
--- a/bilberrylead/agreement/effects/append_entries.hpp
+++ b/bilberrylead/agreement/effects/append_entries.hpp
@@ -9,13 +9,13 @@
 namespace bilberrylead::agreement
 {
 
-/// Write entries; durable with the next sync. Whatever the log held from
-/// the first index on is cut off first.
+/// Write entries to the log; durable with the next sync. Entries in the log at
+/// or after from_index are removed first.
 struct append_entries
 {
     /// Index of the first entry.
     std::uint64_t from_index = 0;
-    /// Consecutive entries from there; never empty.
+    /// Consecutive entries from from_index on; never empty.
     std::vector<log_entry> entries;
 };
 
--- a/bilberrylead/agreement/effects/apply.hpp
+++ b/bilberrylead/agreement/effects/apply.hpp
@@ -6,8 +6,9 @@
 namespace bilberrylead::agreement
 {
 
-/// A committed entry, each once in order of index since the last start or
-/// restore. The state machine ignores kinds other than command.
+/// Apply a committed entry to the state machine. Each entry is applied once, in
+/// order of index, since the last start or restore. The state machine ignores
+/// kinds other than command.
 struct apply
 {
     /// The entry.
--- a/bilberrylead/agreement/effects/drop_log_prefix.hpp
+++ b/bilberrylead/agreement/effects/drop_log_prefix.hpp
@@ -6,11 +6,11 @@
 namespace bilberrylead::agreement
 {
 
-/// The log up to and including this index may be deleted, at leisure: a
-/// durable snapshot stands for it.
+/// The log up to and including this index may be deleted, at any later time: a
+/// durable snapshot replaces it.
 struct drop_log_prefix
 {
-    /// Last index that may go.
+    /// Last index that may be deleted.
     std::uint64_t through_index = 0;
 };
 
--- a/bilberrylead/agreement/effects/persist_hard_state.hpp
+++ b/bilberrylead/agreement/effects/persist_hard_state.hpp
@@ -6,10 +6,10 @@
 namespace bilberrylead::agreement
 {
 
-/// Write term and vote; durable with the next sync.
+/// Write term, vote and commit index; durable with the next sync.
 struct persist_hard_state
 {
-    /// Replaces what was written before.
+    /// Replaces the state written before.
     agreement::hard_state state;
 };
 
--- a/bilberrylead/agreement/effects/persist_snapshot.hpp
+++ b/bilberrylead/agreement/effects/persist_snapshot.hpp
@@ -8,13 +8,14 @@
 namespace bilberrylead::agreement
 {
 
-/// Write a snapshot; durable with the next sync, in place of older ones.
+/// Write a snapshot; durable with the next sync. It replaces older snapshots.
 struct persist_snapshot
 {
-    /// What to write.
+    /// The snapshot to write.
     agreement::snapshot snapshot;
-    /// True if the whole log goes with it (it came from the leader and the
-    /// log did not reach it): the next entry is snapshot.last_index + 1.
+    /// True if the complete log is discarded with it (the snapshot came from
+    /// the leader and the log did not match at its last entry): the next entry
+    /// is snapshot.last_index + 1.
     bool discard_log = false;
 };
 
--- a/bilberrylead/agreement/effects/proposal_accepted.hpp
+++ b/bilberrylead/agreement/effects/proposal_accepted.hpp
@@ -6,12 +6,12 @@
 namespace bilberrylead::agreement
 {
 
-/// The proposal is committed: durable on a quorum, and applied here.
+/// The proposal is committed: durable on a quorum and applied at this replica.
 struct proposal_accepted
 {
-    /// As in the request.
+    /// Token of the request.
     std::uint64_t token = 0;
-    /// The entry's index; apply with it came just before.
+    /// Index of the entry; its apply effect came just before.
     std::uint64_t index = 0;
 };
 
--- a/bilberrylead/agreement/effects/proposal_outcome_unknown.hpp
+++ b/bilberrylead/agreement/effects/proposal_outcome_unknown.hpp
@@ -8,13 +8,13 @@
 namespace bilberrylead::agreement
 {
 
-/// The replica lost its office with the proposal in its log: it may be
-/// committed or not. Resend it with the same change id to find out.
+/// The replica lost leadership with the proposal in its log: it may or may not
+/// be committed. Resend it with the same change id to find out.
 struct proposal_outcome_unknown
 {
-    /// As in the request.
+    /// Token of the request.
     std::uint64_t token = 0;
-    /// Who leads, as far as known; empty if unknown.
+    /// The current leader; empty if unknown.
     host_id leader;
 };
 
--- a/bilberrylead/agreement/effects/proposal_refused.hpp
+++ b/bilberrylead/agreement/effects/proposal_refused.hpp
@@ -9,38 +9,40 @@
 namespace bilberrylead::agreement
 {
 
-/// Why a proposal did not enter the log.
+/// Reason why a proposal was not added to the log.
 enum class refusal : std::uint8_t
 {
-    /// This replica does not lead; ask the one the hint names.
+    /// This replica is not the leader; ask the one named as leader.
     not_leader,
-    /// It hands its office over; ask again shortly.
+    /// The leader is handing over leadership; retry shortly.
     handing_over,
-    /// Too much waits to be committed; ask again later.
+    /// Too many entries or bytes are uncommitted; retry later.
     no_room,
-    /// An earlier membership change is not settled; ask again later.
+    /// An earlier membership change is not committed yet, or no entry of this
+    /// term is; retry later.
     change_in_progress,
-    /// The membership change makes no sense (nobody to remove, the last
-    /// voter, a member already, an incarnation older than the known one).
+    /// The membership change is not valid: it removes a host that is not a
+    /// member or the last voter, adds a member that exists already, or names an
+    /// incarnation older than the listed one.
     bad_change,
-    /// Too few voters of the membership it would bring answer now; bring
-    /// the others back first.
+    /// Too few voters of the resulting membership respond now; bring the others
+    /// back first.
     would_lose_quorum,
     /// The disk failed; ask another host.
     disk_failed,
 };
 
-/// The refusal's name for logs and answers.
+/// Name of the refusal for logs and replies.
 std::string_view to_string(refusal value);
 
 /// The proposal is not in the log and never will be.
 struct proposal_refused
 {
-    /// As in the request.
+    /// Token of the request.
     std::uint64_t token = 0;
-    /// Why.
+    /// Reason for the refusal.
     refusal reason = refusal::not_leader;
-    /// Who leads, as far as known; empty if unknown.
+    /// The current leader; empty if unknown.
     host_id leader;
 };
 
--- a/bilberrylead/agreement/effects/read_ready.hpp
+++ b/bilberrylead/agreement/effects/read_ready.hpp
@@ -6,11 +6,11 @@
 namespace bilberrylead::agreement
 {
 
-/// The state machine, as applied by the effects before this one, includes
-/// everything accepted anywhere before the read was asked for.
+/// The state machine, as applied by the preceding effects, includes everything
+/// accepted on any host before the read was requested.
 struct read_ready
 {
-    /// As in the request.
+    /// Token of the request.
     std::uint64_t token = 0;
     /// Last applied index.
     std::uint64_t index = 0;
--- a/bilberrylead/agreement/effects/read_refused.hpp
+++ b/bilberrylead/agreement/effects/read_refused.hpp
@@ -8,12 +8,12 @@
 namespace bilberrylead::agreement
 {
 
-/// No up-to-date read here.
+/// This replica cannot serve an up-to-date read.
 struct read_refused
 {
-    /// As in the request.
+    /// Token of the request.
     std::uint64_t token = 0;
-    /// Who leads, as far as known; empty if unknown.
+    /// The current leader; empty if unknown.
     host_id leader;
 };
 
--- a/bilberrylead/agreement/effects/restore.hpp
+++ b/bilberrylead/agreement/effects/restore.hpp
@@ -6,11 +6,11 @@
 namespace bilberrylead::agreement
 {
 
-/// Replace the state machine's state by the snapshot's. apply goes on
-/// after its index.
+/// Replace the state machine's state by the snapshot's. The next entry applied
+/// is snapshot.last_index + 1.
 struct restore
 {
-    /// The whole state.
+    /// The complete state.
     agreement::snapshot snapshot;
 };
 
--- a/bilberrylead/agreement/effects/role_changed.hpp
+++ b/bilberrylead/agreement/effects/role_changed.hpp
@@ -9,15 +9,15 @@
 namespace bilberrylead::agreement
 {
 
-/// Role, term or known leader is not what it was. For logs, status and
-/// whatever only a leader does.
+/// Role, term or known leader has changed. For logs, status output and work
+/// that only a leader does.
 struct role_changed
 {
-    /// The replica's role now.
+    /// The replica's current role.
     agreement::role role = agreement::role::learner;
-    /// Its term.
+    /// Its current term.
     std::uint64_t term = 0;
-    /// Who leads in that term, as far as known; empty if unknown.
+    /// The leader of that term; empty if unknown.
     host_id leader;
 };
 
--- a/bilberrylead/agreement/effects/send.hpp
+++ b/bilberrylead/agreement/effects/send.hpp
@@ -7,12 +7,12 @@
 namespace bilberrylead::agreement
 {
 
-/// Send a message; it may get lost.
+/// Send a message, which may be lost.
 struct send
 {
-    /// To whom; all incarnations of a host share its address.
+    /// Receiver; all incarnations of a host share its address.
     host_id to;
-    /// What to send.
+    /// The message to send.
     agreement::message message;
 };
 
--- a/bilberrylead/agreement/effects/sync.hpp
+++ b/bilberrylead/agreement/effects/sync.hpp
@@ -4,9 +4,9 @@
 namespace bilberrylead::agreement
 {
 
-/// Everything written by earlier effects is made durable (file and folder)
-/// before any later effect, also of later calls, is carried out. If it
-/// fails, drop the later ones and report disk_failed.
+/// Make everything written by earlier effects durable (file and folder) before
+/// any later effect, including those of later calls, is executed. If the sync
+/// fails, discard the later effects and report disk_failed.
 struct sync
 {
 };
--- a/bilberrylead/agreement/effects/take_snapshot.hpp
+++ b/bilberrylead/agreement/effects/take_snapshot.hpp
@@ -6,8 +6,8 @@
 namespace bilberrylead::agreement
 {
 
-/// Encode the state machine as it stands now and report snapshot_taken,
-/// at leisure; asked once until answered.
+/// Encode the current state of the state machine and report snapshot_taken, at
+/// any later time. Not requested again until answered.
 struct take_snapshot
 {
     /// Last applied index.
--- a/bilberrylead/agreement/election.cpp
+++ b/bilberrylead/agreement/election.cpp
@@ -44,8 +44,9 @@
     }
 }
 
-/// A vote within the election timeout of a leader's message could elect a
-/// successor while that leader still answers reads under its lease.
+/// True within one election timeout of contact with a leader. A vote granted in
+/// that time could elect a successor while the old leader still answers reads
+/// under its lease.
 bool election::has_recent_leader_contact() const
 {
     if (!this->core.enabled_safeguards.vote_waits_for_lease)
@@ -110,8 +111,9 @@
 bool election::count_grant(host_id const& from,
                            std::uint64_t sender_incarnation)
 {
-    // A host's former self may have granted, or its blank successor: only
-    // the listed incarnation holds the entries that the vote vouches for.
+    // The grant may come from a previous incarnation of the host, or from a
+    // newer one with an empty disk. Only the listed incarnation holds the
+    // entries that its vote stands for.
     bool const counts = this->core.is_counted_voter(
         this->core.memberships.current(), from, sender_incarnation);
     if (counts &&
@@ -140,9 +142,10 @@
 void election::on_pre_vote_reply(host_id const& from, message const& received,
                                  pre_vote_reply const& reply)
 {
-    bool const asked = this->core.role() == role::pre_candidate &&
-                       reply.proposed_term == this->core.hard_state.term + 1;
-    if (asked && reply.granted && this->count_grant(from, received.incarnation))
+    bool const expected = this->core.role() == role::pre_candidate &&
+                          reply.proposed_term == this->core.hard_state.term + 1;
+    if (expected && reply.granted &&
+        this->count_grant(from, received.incarnation))
     {
         this->start_campaign(false);
     }
@@ -177,9 +180,10 @@
 void election::on_vote_reply(host_id const& from, message const& received,
                              vote_reply const& reply)
 {
-    bool const asked = this->core.role() == role::candidate &&
-                       received.term == this->core.hard_state.term;
-    if (asked && reply.granted && this->count_grant(from, received.incarnation))
+    bool const expected = this->core.role() == role::candidate &&
+                          received.term == this->core.hard_state.term;
+    if (expected && reply.granted &&
+        this->count_grant(from, received.incarnation))
     {
         this->core.life_cycle.win();
     }
@@ -187,10 +191,10 @@
 
 void election::on_timeout_now(host_id const& from, message const& received)
 {
-    bool const asked = received.term == this->core.hard_state.term &&
-                       from == this->core.leader &&
-                       this->core.role() == role::follower;
-    if (asked)
+    bool const expected = received.term == this->core.hard_state.term &&
+                          from == this->core.leader &&
+                          this->core.role() == role::follower;
+    if (expected)
     {
         this->start_campaign(true);
     }
--- a/bilberrylead/agreement/election.hpp
+++ b/bilberrylead/agreement/election.hpp
@@ -12,36 +12,39 @@
 namespace bilberrylead::agreement
 {
 
-/// Who leads: timers, pre-votes and votes.
+/// Leader election: timers, pre-votes and votes.
 class election
 {
 public:
-    /// Works on the replica's shared state.
+    /// Keeps a reference to the shared state, which must outlive this object.
     explicit election(replica_core& shared);
 
-    /// A leader showed itself, or may have one before this start: grants
-    /// nothing and asks for nothing for an election timeout.
+    /// Records contact with a leader. For one election timeout the replica
+    /// grants no votes and starts no election. Also called at start, since
+    /// there may have been contact before a restart.
     void record_leader_contact();
 
-    /// Waits a full timeout before the next attempt.
+    /// Restarts the randomized election timer.
     void restart_timer();
 
-    /// Tries to be elected if the time has come.
+    /// Starts an election if the timer has expired.
     void on_tick();
 
-    /// Answers one who asks whether it could win.
+    /// Replies whether this replica would vote for the sender.
     void on_pre_vote_request(host_id const& from, message const& received,
                              pre_vote_request const& request);
-    /// Counts, and campaigns with a quorum.
+    /// Counts a granted pre-vote; starts a campaign on a quorum.
     void on_pre_vote_reply(host_id const& from, message const& received,
                            pre_vote_reply const& reply);
-    /// Votes, or does not.
+    /// Grants or denies the vote. Sends no reply within an election timeout of
+    /// contact with a leader, unless that leader asked for the election.
     void on_vote_request(host_id const& from, message const& received,
                          vote_request const& request);
-    /// Counts, and wins with a quorum.
+    /// Counts a granted vote; wins the election on a quorum.
     void on_vote_reply(host_id const& from, message const& received,
                        vote_reply const& reply);
-    /// Campaigns at once, if the leader itself asks for it.
+    /// Starts a campaign without a pre-vote if the current leader is the
+    /// sender.
     void on_timeout_now(host_id const& from, message const& received);
 
 private:
--- a/bilberrylead/agreement/entry_kind.hpp
+++ b/bilberrylead/agreement/entry_kind.hpp
@@ -6,14 +6,15 @@
 namespace bilberrylead::agreement
 {
 
-/// What a log entry is for.
+/// The purpose of a log entry.
 enum class entry_kind : std::uint8_t
 {
-    /// Nothing; a new leader's first entry, which lets it commit the rest.
+    /// No payload: the first entry of a new leader, which lets it commit the
+    /// entries of earlier terms.
     no_op,
-    /// A change for the state machine.
+    /// A command for the state machine.
     command,
-    /// The group's next membership; the payload is an encoded membership.
+    /// A new membership of the group; the payload is an encoded membership.
     membership,
 };
 
--- a/bilberrylead/agreement/event.hpp
+++ b/bilberrylead/agreement/event.hpp
@@ -16,7 +16,7 @@
 namespace bilberrylead::agreement
 {
 
-/// Everything that can happen to a replica.
+/// An input to replica::reduce.
 using event = std::variant<started, tick, message_received, propose,
                            read_requested, membership_change_requested,
                            handover_requested, snapshot_taken, disk_failed>;
--- a/bilberrylead/agreement/events/disk_failed.hpp
+++ b/bilberrylead/agreement/events/disk_failed.hpp
@@ -4,8 +4,8 @@
 namespace bilberrylead::agreement
 {
 
-/// A write or sync failed. The replica answers nothing from then on, since
-/// it could not keep a promise it makes.
+/// A write or sync failed. From then on the replica does not reply, since it
+/// could not make durable what a reply promises.
 struct disk_failed
 {
 };
--- a/bilberrylead/agreement/events/handover_requested.hpp
+++ b/bilberrylead/agreement/events/handover_requested.hpp
@@ -6,11 +6,13 @@
 namespace bilberrylead::agreement
 {
 
-/// Asks a leader to hand its office over, before a planned stop. Others
-/// ignore it. Its outcome shows as role_changed; ask again if it does not.
+/// Requests that a leader hand over leadership before a planned stop; other
+/// roles ignore it. The outcome is reported as role_changed; repeat the request
+/// if there is none.
 struct handover_requested
 {
-    /// Who should take over; empty for the voter that is furthest.
+    /// The next leader; empty for the responsive voter with the longest
+    /// matching log.
     host_id target;
 };
 
--- a/bilberrylead/agreement/events/membership_change_requested.hpp
+++ b/bilberrylead/agreement/events/membership_change_requested.hpp
@@ -9,18 +9,18 @@
 namespace bilberrylead::agreement
 {
 
-/// What an operator wants done to one member.
+/// Membership change requested by an operator for one member.
 enum class membership_action : std::uint8_t
 {
-    /// Take in as a learner that stays one.
+    /// Add as a permanent learner.
     add_learner,
-    /// Take in as a learner that becomes a voter once it caught up.
+    /// Add as a learner that is promoted to voter once it has caught up.
     add_voter,
-    /// Take out, whatever it is.
+    /// Remove, whether learner or voter.
     remove,
 };
 
-/// The action's name as logs show it.
+/// Name of the action, as shown in logs.
 constexpr std::string_view to_string(membership_action action)
 {
     switch (action)
@@ -35,17 +35,17 @@
     return "";
 }
 
-/// Asks for one change of membership. Answered like a proposal; refused
-/// while another one is not settled.
+/// Requests one membership change. Answered like a proposal; refused while
+/// another change is not committed.
 struct membership_change_requested
 {
-    /// The asker's number for it, shared with proposals.
+    /// Number chosen by the requester; shares its number space with proposals.
     std::uint64_t token = 0;
-    /// What to do.
+    /// The action.
     membership_action action = membership_action::add_learner;
-    /// To whom.
+    /// The host to add or remove.
     host_id host;
-    /// Which incarnation to add; 0 takes the one the host names itself.
+    /// Incarnation to add; 0 adds the one that the host reports itself.
     std::uint64_t incarnation = 0;
 };
 
--- a/bilberrylead/agreement/events/message_received.hpp
+++ b/bilberrylead/agreement/events/message_received.hpp
@@ -7,12 +7,12 @@
 namespace bilberrylead::agreement
 {
 
-/// A message arrived over a link whose other end is known to be `from`.
+/// A message arrived over a link whose peer is authenticated as `from`.
 struct message_received
 {
-    /// Who sent it.
+    /// The sender.
     host_id from;
-    /// What it says.
+    /// The message.
     agreement::message message;
 };
 
--- a/bilberrylead/agreement/events/propose.hpp
+++ b/bilberrylead/agreement/events/propose.hpp
@@ -8,11 +8,11 @@
 namespace bilberrylead::agreement
 {
 
-/// Asks for a command to be put into the log. Answered exactly once with
+/// Requests that a command be added to the log. Answered exactly once with
 /// proposal_accepted, proposal_refused or proposal_outcome_unknown.
 struct propose
 {
-    /// The asker's number for it, unique while it is open.
+    /// Number chosen by the requester, unique among its pending requests.
     std::uint64_t token = 0;
     /// The state machine's command.
     bytes payload;
--- a/bilberrylead/agreement/events/read_requested.hpp
+++ b/bilberrylead/agreement/events/read_requested.hpp
@@ -6,11 +6,11 @@
 namespace bilberrylead::agreement
 {
 
-/// Asks whether the state machine may be read as it stands: answered with
-/// read_ready or read_refused, exactly once.
+/// Requests an up-to-date read of the state machine. Answered exactly once with
+/// read_ready or read_refused.
 struct read_requested
 {
-    /// The asker's number for it, unique while it is open.
+    /// Number chosen by the requester, unique among its pending requests.
     std::uint64_t token = 0;
 };
 
--- a/bilberrylead/agreement/events/snapshot_taken.hpp
+++ b/bilberrylead/agreement/events/snapshot_taken.hpp
@@ -8,12 +8,12 @@
 namespace bilberrylead::agreement
 {
 
-/// The state machine encoded itself, as take_snapshot asked.
+/// The state machine has encoded its state, as requested by take_snapshot.
 struct snapshot_taken
 {
-    /// The index of take_snapshot: the last entry the state includes.
+    /// Index from take_snapshot: the last entry that the state includes.
     std::uint64_t index = 0;
-    /// The state machine's encoding.
+    /// The state, in the state machine's own encoding.
     bytes state;
 };
 
--- a/bilberrylead/agreement/events/started.hpp
+++ b/bilberrylead/agreement/events/started.hpp
@@ -12,19 +12,21 @@
 namespace bilberrylead::agreement
 {
 
-/// The process is up and its data folder read. The first event, once only.
+/// The process has started and read its data folder. Must be the first event
+/// and occurs only once.
 struct started
 {
-    /// As last made durable; the default for a blank data folder.
+    /// Last durable hard state; the default for an empty data folder.
     agreement::hard_state hard_state;
     /// The newest durable snapshot, if there is one.
     std::optional<agreement::snapshot> snapshot;
-    /// The durable log after the snapshot (or overlapping it), in order.
+    /// The durable log after the snapshot, or overlapping it, in order.
     std::vector<log_entry> entries;
-    /// The first membership of a new group: only for a blank data folder,
-    /// only by an operator's one-time order, the same at every founder.
-    /// A blank host without it waits until a leader takes it in; started
-    /// again with it after a disk loss it would vote as its former self.
+    /// The first membership of a new group: only with an empty data folder,
+    /// only by an operator's one-time order, and the same at every initial
+    /// member. A host with an empty data folder and without it waits until a
+    /// leader adds it. If it were given again after a disk loss, the host would
+    /// vote as its previous incarnation.
     std::optional<membership> initial_membership;
 };
 
--- a/bilberrylead/agreement/events/tick.hpp
+++ b/bilberrylead/agreement/events/tick.hpp
@@ -4,7 +4,7 @@
 namespace bilberrylead::agreement
 {
 
-/// Time has passed. Due every replica_settings::tick_interval or so.
+/// Periodic timer event, due about every replica_settings::tick_interval.
 struct tick
 {
 };
--- a/bilberrylead/agreement/handover.cpp
+++ b/bilberrylead/agreement/handover.cpp
@@ -46,8 +46,8 @@
     if (!this->timeout_now_sent &&
         peer->match_index == this->core.log.last_index())
     {
-        // The message may arrive at any later time and elects in spite of
-        // the lease, so that the lease ends here.
+        // The message may arrive at any later time and the resulting election
+        // ignores the lease, so the lease is released here.
         this->timeout_now_sent = true;
         this->leadership.release_lease();
         this->core.send_after_sync(this->target, timeout_now{});
--- a/bilberrylead/agreement/handover.hpp
+++ b/bilberrylead/agreement/handover.hpp
@@ -9,26 +9,30 @@
 namespace bilberrylead::agreement
 {
 
-/// Hands the office over before a planned stop: takes no proposals, waits
-/// until the successor has the whole log, then tells it to campaign.
-/// Without it callers wait out an election timeout at each planned stop.
+/// Transfers leadership before a planned stop: refuses new proposals, waits
+/// until the successor has the complete log, then sends it timeout_now. Without
+/// the transfer callers would wait out an election timeout at each planned
+/// stop.
 class handover
 {
 public:
-    /// Works on the replica's shared state.
+    /// Keeps references to both; they must outlive this object.
     handover(replica_core& shared, agreement::leadership& lead);
 
-    /// Starts, if this replica leads and there is a successor.
+    /// Starts a transfer if this replica leads and none is in progress. The
+    /// target is `requested_target` if it is another member, otherwise the
+    /// responsive voter with the longest matching log.
     void on_handover_requested(host_id const& requested_target);
 
-    /// True while proposals are turned away for it.
+    /// True while a transfer is in progress and proposals are refused.
     bool is_in_progress() const;
 
-    /// Tells the successor once it has the whole log; gives up when it
-    /// took too long.
+    /// Sends timeout_now once the target has the complete log. Cancels the
+    /// transfer after one election timeout, or if the target is no longer a
+    /// voter.
     void advance();
 
-    /// The office is lost, or the attempt given up.
+    /// Ends the transfer: leadership was lost or the attempt failed.
     void cancel();
 
 private:
--- a/bilberrylead/agreement/leadership.cpp
+++ b/bilberrylead/agreement/leadership.cpp
@@ -103,8 +103,9 @@
         return;
     }
 
-    // A copy of an older term's entry on a quorum can still be overwritten
-    // by a leader whose last entry is younger; one of the own term cannot.
+    // An entry of an older term can still be overwritten after a quorum has
+    // stored it, by a leader whose last entry has a later term. An entry of the
+    // current term cannot.
     bool const own_term =
         this->core.log.term_at(reached) == this->core.hard_state.term;
     if (own_term || !this->core.enabled_safeguards.commit_own_term_only)
@@ -112,7 +113,8 @@
         this->applier.commit_through(reached);
     }
 
-    // A leader that took itself out leads until that is settled.
+    // A leader that removed itself from the membership keeps leading until that
+    // entry is committed.
     bool const settled =
         this->core.memberships.current_index() <= this->core.commit_index;
     if (settled && !this->core.is_voter())
@@ -151,8 +153,8 @@
     if (peer->member.incarnation != sender_incarnation &&
         this->core.enabled_safeguards.incarnation_check)
     {
-        // The host lost its disk: nothing that its former self held or
-        // granted counts any more.
+        // The host lost its disk: whatever its previous incarnation stored or
+        // granted no longer counts.
         peer->newer_incarnation =
             std::max(peer->newer_incarnation, sender_incarnation);
         return nullptr;
@@ -189,7 +191,8 @@
     peer->match_index = std::max(peer->match_index, reply.match_index);
     peer->next_index = std::max(peer->next_index, peer->match_index + 1);
 
-    // The heartbeat beside a snapshot agrees at index 0 and shows nothing.
+    // A heartbeat sent during a snapshot transfer matches at index 0 and proves
+    // nothing about the log.
     if (reply.match_index > 0)
     {
         peer->probing = false;
--- a/bilberrylead/agreement/leadership.hpp
+++ b/bilberrylead/agreement/leadership.hpp
@@ -17,72 +17,76 @@
 namespace bilberrylead::agreement
 {
 
-/// What a leader does while it leads: appends, counts copies, commits,
-/// sends heartbeats and checks that a quorum still answers.
+/// Leader duties: appends entries, tracks replication, commits, sends
+/// heartbeats and checks that a quorum still replies.
 class leadership
 {
 public:
-    /// Works on the replica's shared state.
+    /// Keeps references to both; they must outlive this object.
     leadership(replica_core& shared, log_applier& to_apply);
 
-    /// The election is won: starts with an entry of the own term.
+    /// Called when the election is won: appends a first entry of the new term.
     void begin();
 
-    /// The office is lost.
+    /// Called when leadership is lost.
     void end();
 
-    /// A new call starts: later sends belong to it.
+    /// Starts a new round at the beginning of a call; messages sent later carry
+    /// its number.
     void start_round();
 
-    /// Steps down if no quorum answered for an election timeout.
+    /// Steps down if no quorum replied within an election timeout.
     void check_quorum();
 
-    /// Puts an entry into the log; gives its index.
+    /// Appends an entry to the log and returns its index.
     std::uint64_t append(entry_kind kind, bytes payload);
 
-    /// Heartbeats that are due.
+    /// Schedules heartbeats if their interval has passed.
     void on_tick();
 
     /// Makes the next flush send heartbeats.
     void schedule_heartbeats();
 
-    /// Commits what can be, and sends what members lack.
+    /// Advances the commit index, then sends missing entries and due
+    /// heartbeats.
     void flush();
 
-    /// Counts an answer.
+    /// Updates the sender's progress from its reply.
     void on_append_reply(host_id const& from, std::uint64_t sender_incarnation,
                          append_reply const& reply);
-    /// Goes on with a snapshot.
+    /// Continues or completes the snapshot transfer to the sender.
     void on_install_snapshot_reply(host_id const& from,
                                    std::uint64_t sender_incarnation,
                                    install_snapshot_reply const& reply);
 
-    /// True once an entry of the own term is committed: only then does the
+    /// True once an entry of the current term is committed: only then does the
     /// commit index include everything that earlier leaders committed.
     bool has_committed_in_term() const;
 
-    /// True while no other leader can have been elected.
+    /// True while no other replica can have been elected leader.
     bool holds_lease(instant now) const;
 
-    /// No lease any more in this term: a handover may be under way.
+    /// Releases the lease for the rest of this term, because a handover may
+    /// elect a successor at any time.
     void release_lease();
 
-    /// The round at work.
+    /// Number of the current round.
     std::uint64_t current_round() const;
 
-    /// Latest round that a quorum answered.
+    /// Latest round that a quorum replied to.
     std::uint64_t quorum_round() const;
 
-    /// Lowest index that a snapshot under way will need next.
+    /// Lowest index that the snapshot transfers in progress will need from the
+    /// log; the maximum value if there is none.
     std::uint64_t needed_index() const;
 
-    /// When this replica was elected.
+    /// Time at which this replica was elected.
     instant leader_since() const
     {
         return this->elected_at;
     }
 
-    /// Members other than self.
+    /// Progress of the members other than this replica.
     peer_table& other_members();
 
 private:
--- a/bilberrylead/agreement/log_applier.cpp
+++ b/bilberrylead/agreement/log_applier.cpp
@@ -27,8 +27,8 @@
     std::uint64_t const covered =
         this->core.latest_snapshot ? this->core.latest_snapshot->last_index : 0;
 
-    // Also counted from the last question: a state too large to be kept
-    // must not be encoded again with every entry.
+    // The threshold also counts from the last request: a state too large to be
+    // stored must not be encoded again with every entry.
     std::uint64_t const last_request_index =
         std::max(covered, this->snapshot_requested_at_index);
     bool const due =
@@ -47,8 +47,8 @@
     std::uint64_t const index = received->last_index;
     replica_log& log = this->core.log;
 
-    // A log that agrees at the snapshot's end keeps what it has after it:
-    // those entries may have been counted towards a quorum.
+    // If the log matches at the snapshot's last entry, its later entries are
+    // kept: they may have been counted towards a quorum.
     bool const agrees = log.term_at(index) == received->last_term;
     if (agrees)
     {
@@ -86,16 +86,17 @@
     this->core.effects.write(
         persist_snapshot{*this->core.latest_snapshot, false});
 
-    // A member that is a little late, or takes in a snapshot just now,
-    // goes on from the log; without a bound it could fill the memory.
+    // A member that is slightly behind, or is receiving a snapshot, continues
+    // from the log. Without a limit such a member could make the log fill the
+    // memory.
     replica_settings const& bounds = this->core.settings;
-    std::uint64_t const retained_from =
+    std::uint64_t const retained_after =
         taken.index - std::min(taken.index, bounds.kept_entries);
     std::uint64_t const max_log_length = 4 * bounds.snapshot_threshold;
     std::uint64_t const oldest =
         taken.index - std::min(taken.index, max_log_length);
     std::uint64_t const through =
-        std::max(oldest, std::min(retained_from, needed_index));
+        std::max(oldest, std::min(retained_after, needed_index));
     if (through > log.base_index())
     {
         log.drop_through(through);
--- a/bilberrylead/agreement/log_applier.hpp
+++ b/bilberrylead/agreement/log_applier.hpp
@@ -11,21 +11,24 @@
 namespace bilberrylead::agreement
 {
 
-/// Takes committed entries to the state machine and snapshots from it.
+/// Passes committed entries to the state machine and manages snapshots.
 class log_applier
 {
 public:
-    /// Works on the replica's shared state.
+    /// Keeps references to both; they must outlive this object.
     log_applier(replica_core& shared, pending_proposals& waiting);
 
-    /// Raises the commit index, if it is behind, and applies.
+    /// Advances the commit index to `index`, if it is behind, and emits apply
+    /// effects for the newly committed entries.
     void commit_through(std::uint64_t index);
 
-    /// Replaces state and log by a snapshot from the leader.
+    /// Replaces the state machine's state, and the log where it does not match,
+    /// by a snapshot received from the leader.
     void install(std::shared_ptr<snapshot const> const& received);
 
-    /// Keeps a snapshot of the own state machine. The log is kept from
-    /// `needed_index` on, as far as the bounds allow.
+    /// Stores a snapshot of the local state machine and drops the log prefix it
+    /// covers. Entries from `needed_index` on are retained, within the
+    /// configured limits.
     void on_snapshot_taken(snapshot_taken const& taken,
                            std::uint64_t needed_index);
 
--- a/bilberrylead/agreement/log_entry.hpp
+++ b/bilberrylead/agreement/log_entry.hpp
@@ -9,14 +9,14 @@
 namespace bilberrylead::agreement
 {
 
-/// One entry of the replicated log. Term and index name it for good.
+/// One entry of the replicated log, uniquely identified by term and index.
 struct log_entry
 {
-    /// Term of the leader that made it, from 1.
+    /// Term of the leader that created it, from 1.
     std::uint64_t term = 0;
-    /// Place in the log, from 1.
+    /// Position in the log, from 1.
     std::uint64_t index = 0;
-    /// What the payload is for.
+    /// Determines how the payload is interpreted.
     entry_kind kind = entry_kind::no_op;
     /// The state machine's command, or an encoded membership.
     bytes payload;
--- a/bilberrylead/agreement/member.hpp
+++ b/bilberrylead/agreement/member.hpp
@@ -8,17 +8,18 @@
 namespace bilberrylead::agreement
 {
 
-/// One host of the group, as one life of its data folder.
+/// One host of the group, in one incarnation of its data folder.
 struct member
 {
-    /// The machine.
+    /// The host.
     host_id host;
-    /// Which data folder it is: a host that lost its disk comes back under
-    /// a greater number. 0 stands for "not known yet" and never votes.
+    /// Identifies the data folder: a host that lost its disk restarts with a
+    /// greater number. 0 means "not yet known" and never votes.
     std::uint64_t incarnation = 0;
-    /// True if its vote and its copy count towards a quorum.
+    /// True if its vote and its copy of the log count towards a quorum.
     bool voter = false;
-    /// True for a learner that the leader makes a voter once it caught up.
+    /// True for a learner that the leader promotes to voter once it has caught
+    /// up.
     bool voter_when_caught_up = false;
 
     friend bool operator==(member const&, member const&) = default;
--- a/bilberrylead/agreement/member_state.hpp
+++ b/bilberrylead/agreement/member_state.hpp
@@ -7,15 +7,15 @@
 namespace bilberrylead::agreement
 {
 
-/// How a member does, as the leader sees it.
+/// A member's condition as the leader sees it.
 struct member_state
 {
-    /// The member, in the incarnation that counts.
+    /// The member, in the incarnation listed in the membership.
     agreement::member member;
-    /// Time since its last answer, or since this leader took office if it
-    /// has not answered yet. Zero for the leader itself.
+    /// Time since its last reply, or since this leader first listed it if it
+    /// has not replied yet. Zero for the leader itself.
     duration time_since_reply{};
-    /// True if it holds nearly the whole log, so that it could vote at once.
+    /// True if its log is nearly complete, so that it could vote at once.
     bool caught_up = false;
 };
 
--- a/bilberrylead/agreement/membership.hpp
+++ b/bilberrylead/agreement/membership.hpp
@@ -11,29 +11,29 @@
 namespace bilberrylead::agreement
 {
 
-/// Who takes part in the group: voters and learners, at most one
-/// incarnation of each host.
+/// The members of the group: voters and learners, at most one incarnation of
+/// each host.
 struct membership
 {
-    /// Every member, ordered by host.
+    /// All members, ordered by host.
     std::vector<member> members;
 
-    /// The entry of a host, or nullptr.
+    /// Returns the member with this host, or nullptr.
     member const* find(host_id const& host) const;
 
     /// True if exactly this incarnation of the host is a voter.
     bool is_voter(host_id const& host, std::uint64_t incarnation) const;
 
-    /// How many members are voters.
+    /// Number of voters.
     std::size_t voters() const;
 
-    /// How many voters make a quorum; 0 if there is no voter at all.
+    /// Number of voters that form a quorum; 0 if there are no voters.
     std::size_t quorum() const;
 
-    /// Adds the member, or replaces the one of the same host.
+    /// Adds the member, or replaces the one with the same host.
     void put(member const& next);
 
-    /// Takes the host out, if it is in.
+    /// Removes the host, if present.
     void remove(host_id const& host);
 
     friend bool operator==(membership const&, membership const&) = default;
--- a/bilberrylead/agreement/membership_changer.cpp
+++ b/bilberrylead/agreement/membership_changer.cpp
@@ -11,7 +11,8 @@
 namespace
 {
 
-/// The membership after an operator's change; nothing if it makes no sense.
+/// Returns the membership after an operator's change, or nullopt if the change
+/// is not valid.
 std::optional<membership>
 membership_after(membership const& before,
                  membership_change_requested const& request)
@@ -114,9 +115,10 @@
     return states;
 }
 
-/// A change on top of one that is not committed, or that a leader makes
-/// before anything of its term is committed, could leave two quorums
-/// without a common voter: two leaders would commit different entries.
+/// True if no change is in progress and an entry of the current term is
+/// committed. A change on top of an uncommitted one, or before the first commit
+/// of the term, could leave two quorums without a common voter: two leaders
+/// would commit different entries.
 bool membership_changer::can_start_change() const
 {
     if (!this->core.enabled_safeguards.one_change_at_a_time)
@@ -148,8 +150,9 @@
     }
 }
 
-/// Its vote goes first and comes back once it caught up: two steps, since
-/// one step would change two voters at once.
+/// Lists the host's new incarnation as a learner, which is promoted once it has
+/// caught up. This takes two steps, since a single one would change two voters
+/// at once.
 bool membership_changer::readmit_wiped_host()
 {
     for (peer_progress const& peer : this->leadership.other_members().all())
@@ -185,8 +188,9 @@
     }
 }
 
-/// A change takes effect before it is committed. One that needs a voter
-/// which is down would stop the group, and could not be taken back.
+/// True if a quorum of the voters of `next` responds now. A change takes effect
+/// before it is committed: one that needs an unavailable voter would block the
+/// group and could not be undone.
 bool membership_changer::has_live_quorum(membership const& next) const
 {
     std::size_t live_voters = 0;
--- a/bilberrylead/agreement/membership_changer.hpp
+++ b/bilberrylead/agreement/membership_changer.hpp
@@ -13,24 +13,25 @@
 namespace bilberrylead::agreement
 {
 
-/// Changes of membership, one member at a time. Quorums of neighbouring
-/// memberships share a voter, so that no two leaders of a term can be
-/// elected while a change is under way.
+/// Membership changes, one member at a time. Quorums of consecutive memberships
+/// share a voter, so that two leaders cannot be elected in the same term while
+/// a change is in progress.
 class membership_changer
 {
 public:
-    /// Works on the replica's shared state.
+    /// Keeps references to all three; they must outlive this object.
     membership_changer(replica_core& shared, agreement::leadership& lead,
                        pending_proposals& waiting);
 
-    /// An operator's change.
+    /// Handles a change requested by an operator: appends the new membership or
+    /// refuses.
     void on_change_requested(membership_change_requested const& request);
 
-    /// Takes a host that lost its disk back in as a learner, and makes
-    /// learners that caught up voters.
+    /// Readmits a host that lost its disk as a learner, or promotes a learner
+    /// that has caught up; at most one change per tick.
     void on_tick();
 
-    /// How each member does, by host; empty unless this replica leads.
+    /// State of each member, ordered by host; empty unless this replica leads.
     std::vector<member_state> members(instant now) const;
 
 private:
--- a/bilberrylead/agreement/membership_history.hpp
+++ b/bilberrylead/agreement/membership_history.hpp
@@ -9,34 +9,35 @@
 namespace bilberrylead::agreement
 {
 
-/// Memberships by the index of the entry that brought them. The latest one
-/// is in force, committed or not; a truncated log brings back the one
-/// before.
+/// Memberships by the index of the log entry that introduced them. The latest
+/// one is in force, committed or not; truncating the log restores the previous
+/// one.
 class membership_history
 {
 public:
-    /// Forgets everything but this membership.
+    /// Discards everything except this membership.
     void reset(std::uint64_t index, membership const& value);
 
-    /// Takes the membership of a new last entry.
+    /// Adds the membership of a new last entry.
     void put(std::uint64_t index, membership const& value);
 
-    /// Forgets those from an index on.
+    /// Removes memberships introduced at `index` or later.
     void truncate_from(std::uint64_t index);
 
-    /// Forgets those that a snapshot at this index has replaced.
+    /// Removes memberships that a snapshot at `index` makes obsolete.
     void drop_before(std::uint64_t index);
 
-    /// The one in force; empty if none is known.
+    /// The membership in force; empty if there is none.
     membership const& current() const;
 
-    /// Index of the entry that brought the one in force.
+    /// Index of the entry that introduced the membership in force; 0 if there
+    /// is none.
     std::uint64_t current_index() const;
 
-    /// The one before the one in force; empty if none is known.
+    /// The membership before the one in force; empty if there is none.
     membership const& previous() const;
 
-    /// The one that was in force at an index; empty if none is known.
+    /// The membership in force at `index`; empty if there is none.
     membership const& at(std::uint64_t index) const;
 
 private:
--- a/bilberrylead/agreement/message.hpp
+++ b/bilberrylead/agreement/message.hpp
@@ -17,22 +17,23 @@
 namespace bilberrylead::agreement
 {
 
-/// What a message says; encoded by its place here, so append only.
+/// Message payload. The alternative's index is the encoding, so only append to
+/// this list.
 using message_body =
     std::variant<pre_vote_request, pre_vote_reply, vote_request, vote_reply,
                  append_request, append_reply, install_snapshot_request,
                  install_snapshot_reply, timeout_now>;
 
-/// What replicas send one another. May be lost, repeated, reordered or
-/// delayed without bound.
+/// A message between replicas. It may be lost, duplicated, reordered or delayed
+/// without bound.
 struct message
 {
     /// The sender's term.
     std::uint64_t term = 0;
-    /// The sender's incarnation; an older one than the receiver knows of
-    /// is a host's former self and is not listened to.
+    /// The sender's incarnation. A message from an older incarnation than the
+    /// one listed for the host is ignored.
     std::uint64_t incarnation = 0;
-    /// The message proper.
+    /// The payload.
     message_body body;
 
     friend bool operator==(message const&, message const&) = default;
--- a/bilberrylead/agreement/message_json.cpp
+++ b/bilberrylead/agreement/message_json.cpp
@@ -1,5 +1,6 @@
 #include "bilberrylead/agreement/record_json.hpp"
 
+#include <fmt/format.h>
 #include <nlohmann/json.hpp>
 
 #include <array>
@@ -116,7 +117,7 @@
     value = read_record<install_snapshot_request>(reader);
 }
 
-/// Reads the alternative at a place of the variant.
+/// Reads the payload as the variant alternative with index Place.
 template <std::size_t Place>
 message_body read_alternative(record_reader& reader)
 {
@@ -163,7 +164,8 @@
     std::uint64_t const kind = reader.number("kind");
     if (kind >= alternative_readers.size())
     {
-        reader.fail(error_kind::bad_value, "A message's kind is not known.");
+        reader.fail(error_kind::bad_value,
+                    fmt::format("Unknown message kind {}.", kind));
         return value;
     }
     record_reader inner(reader.record("body"), reader);
--- a/bilberrylead/agreement/messages/append_reply.hpp
+++ b/bilberrylead/agreement/messages/append_reply.hpp
@@ -6,18 +6,18 @@
 namespace bilberrylead::agreement
 {
 
-/// Answer to an append_request.
+/// Reply to an append_request.
 struct append_reply
 {
-    /// Echo of the request.
+    /// Round of the request.
     std::uint64_t round = 0;
-    /// True if the sender's log agrees durably up to match_index.
+    /// True if the sender's log durably matches the leader's up to match_index.
     bool success = false;
-    /// If success: last index known to agree with the leader's log.
+    /// On success: last index known to match the leader's log.
     std::uint64_t match_index = 0;
-    /// If not: previous_index of the request that did not fit.
+    /// On failure: previous_index of the rejected request.
     std::uint64_t rejected_index = 0;
-    /// If not: the index from which the leader should send again.
+    /// On failure: index from which the leader should send again.
     std::uint64_t retry_index = 0;
 
     friend bool operator==(append_reply const&, append_reply const&) = default;
--- a/bilberrylead/agreement/messages/append_request.hpp
+++ b/bilberrylead/agreement/messages/append_request.hpp
@@ -9,17 +9,17 @@
 namespace bilberrylead::agreement
 {
 
-/// Entries from the leader; without any it is a heartbeat.
+/// Log entries from the leader; a heartbeat if there are none.
 struct append_request
 {
-    /// Number of the leader's send, echoed in the reply: it tells the
-    /// leader when the message that was answered had been sent.
+    /// Number of the leader's send round, echoed in the reply: it tells the
+    /// leader when the acknowledged message was sent.
     std::uint64_t round = 0;
-    /// Index of the entry just before the first one here.
+    /// Index of the entry just before the first one in this message.
     std::uint64_t previous_index = 0;
     /// Term of that entry.
     std::uint64_t previous_term = 0;
-    /// Highest index the leader knows to be committed.
+    /// Highest index that the leader reports as committed.
     std::uint64_t commit_index = 0;
     /// Consecutive entries from previous_index + 1.
     std::vector<log_entry> entries;
--- a/bilberrylead/agreement/messages/install_snapshot_reply.hpp
+++ b/bilberrylead/agreement/messages/install_snapshot_reply.hpp
@@ -6,17 +6,17 @@
 namespace bilberrylead::agreement
 {
 
-/// Answer to an install_snapshot_request.
+/// Reply to an install_snapshot_request.
 struct install_snapshot_reply
 {
     /// Echo of the request.
     std::uint64_t round = 0;
     /// Echo of the request.
     std::uint64_t last_index = 0;
-    /// How many bytes of the state the sender holds: where to go on.
+    /// Bytes of the state that the sender holds: the offset of the next chunk.
     std::uint64_t next_offset = 0;
-    /// True once the snapshot is durable and in force at the sender, or
-    /// the sender's log had reached last_index already.
+    /// True once the snapshot is durable and installed at the sender, or if the
+    /// sender had already committed up to last_index.
     bool installed = false;
 
     friend bool operator==(install_snapshot_reply const&,
--- a/bilberrylead/agreement/messages/install_snapshot_request.hpp
+++ b/bilberrylead/agreement/messages/install_snapshot_request.hpp
@@ -9,23 +9,23 @@
 namespace bilberrylead::agreement
 {
 
-/// One chunk of the leader's snapshot, for a member whose next entry the
-/// leader no longer has.
+/// One chunk of the leader's snapshot, for a member whose next entry is no
+/// longer in the leader's log.
 struct install_snapshot_request
 {
-    /// As in append_request.
+    /// Round, as in append_request.
     std::uint64_t round = 0;
-    /// Index of the last entry the snapshot stands for.
+    /// Index of the last entry that the snapshot includes.
     std::uint64_t last_index = 0;
     /// Term of that entry.
     std::uint64_t last_term = 0;
     /// Membership as of that entry.
     agreement::membership membership;
-    /// Bytes of the whole state.
+    /// Size of the complete state in bytes.
     std::uint64_t total_size = 0;
-    /// Where in the state the chunk starts.
+    /// Offset of the chunk in the state, in bytes.
     std::uint64_t offset = 0;
-    /// The chunk; may be empty only if the state is.
+    /// The chunk; empty only if the state is empty.
     bytes chunk;
 
     friend bool operator==(install_snapshot_request const&,
--- a/bilberrylead/agreement/messages/pre_vote_reply.hpp
+++ b/bilberrylead/agreement/messages/pre_vote_reply.hpp
@@ -6,12 +6,12 @@
 namespace bilberrylead::agreement
 {
 
-/// Answer to a pre_vote_request.
+/// Reply to a pre_vote_request.
 struct pre_vote_reply
 {
-    /// Echo of the request.
+    /// Proposed term of the request.
     std::uint64_t proposed_term = 0;
-    /// True if the sender would vote for the asker.
+    /// True if the sender would vote for the requester.
     bool granted = false;
 
     friend bool operator==(pre_vote_reply const&,
--- a/bilberrylead/agreement/messages/pre_vote_request.hpp
+++ b/bilberrylead/agreement/messages/pre_vote_request.hpp
@@ -6,7 +6,8 @@
 namespace bilberrylead::agreement
 {
 
-/// Asks: would you vote for me in that term? Changes nothing at either end.
+/// Asks whether the receiver would vote for the sender in the proposed term.
+/// Changes no state at either end.
 struct pre_vote_request
 {
     /// The term the sender would campaign in.
--- a/bilberrylead/agreement/messages/timeout_now.hpp
+++ b/bilberrylead/agreement/messages/timeout_now.hpp
@@ -4,7 +4,7 @@
 namespace bilberrylead::agreement
 {
 
-/// The leader asks the receiver to take over in the next term at once.
+/// The leader asks the receiver to start an election in the next term at once.
 struct timeout_now
 {
     friend bool operator==(timeout_now const&, timeout_now const&) = default;
--- a/bilberrylead/agreement/messages/vote_reply.hpp
+++ b/bilberrylead/agreement/messages/vote_reply.hpp
@@ -4,10 +4,10 @@
 namespace bilberrylead::agreement
 {
 
-/// Answer to a vote_request, in the message's term.
+/// Reply to a vote_request, in the message's term.
 struct vote_reply
 {
-    /// True if the vote is the asker's, durably.
+    /// True if the sender voted for the requester, durably.
     bool granted = false;
 
     friend bool operator==(vote_reply const&, vote_reply const&) = default;
--- a/bilberrylead/agreement/messages/vote_request.hpp
+++ b/bilberrylead/agreement/messages/vote_request.hpp
@@ -6,15 +6,15 @@
 namespace bilberrylead::agreement
 {
 
-/// Asks for a vote in the message's term.
+/// Requests a vote in the message's term.
 struct vote_request
 {
     /// Index of the candidate's last entry.
     std::uint64_t last_index = 0;
     /// Term of the candidate's last entry.
     std::uint64_t last_term = 0;
-    /// True if the leader itself asked for this election, so that a voter
-    /// which hears that leader need not turn it down.
+    /// True if the leader requested this election, so that a voter with recent
+    /// contact with that leader need not ignore the request.
     bool handover = false;
 
     friend bool operator==(vote_request const&, vote_request const&) = default;
--- a/bilberrylead/agreement/peer_progress.hpp
+++ b/bilberrylead/agreement/peer_progress.hpp
@@ -12,33 +12,34 @@
 namespace bilberrylead::agreement
 {
 
-/// What a leader knows of another member's log.
+/// A leader's view of another member's log.
 struct peer_progress
 {
-    /// The member, in the incarnation that counts.
+    /// The member, in the incarnation listed in the membership.
     agreement::member member;
     /// Index of the next entry to send.
     std::uint64_t next_index = 1;
-    /// Last index that is known to agree, durably.
+    /// Last index known to match the leader's log durably.
     std::uint64_t match_index = 0;
-    /// True while the place to go on from is being looked for: one append
+    /// True while the leader searches for the last matching index: one append
     /// at a time.
     bool probing = false;
-    /// Latest round it answered; 0 if none.
+    /// Latest round it replied to; 0 if none.
     std::uint64_t acked_round = 0;
-    /// When that round was sent.
+    /// When that round was sent; the lease counts from here.
     std::optional<instant> acked_send_time;
-    /// When this leader first counted it among the members.
+    /// When this leader first listed the member.
     instant listed_at;
-    /// When its last answer arrived.
+    /// When its last reply arrived.
     std::optional<instant> last_reply_at;
-    /// The snapshot under way to it, if any.
+    /// The snapshot being transferred to it, or nullptr.
     std::shared_ptr<snapshot const> outgoing_snapshot;
-    /// How much of it has arrived, in bytes.
+    /// Bytes of that snapshot that it has received.
     std::uint64_t snapshot_offset = 0;
     /// When the last chunk was sent.
     instant chunk_sent_at;
-    /// A greater incarnation than the listed one that answered; 0 if none.
+    /// Incarnation of a reply from the same host that is newer than the listed
+    /// one; 0 if none.
     std::uint64_t newer_incarnation = 0;
 };
 
--- a/bilberrylead/agreement/peer_table.cpp
+++ b/bilberrylead/agreement/peer_table.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// What a quorum has reached of a value that each voter has reached.
+/// Returns the greatest value that a quorum of the voters has reached.
 template <class Value, class Projection>
 Value quorum_value(std::vector<peer_progress> const& rows, bool self_votes,
                    Value const& own, Projection value_of_peer)
@@ -52,10 +52,11 @@
             continue;
         }
         peer_progress row;
-        peer_progress const* const known = this->find(one.host);
-        if (known != nullptr && known->member.incarnation == one.incarnation)
+        peer_progress const* const existing = this->find(one.host);
+        if (existing != nullptr &&
+            existing->member.incarnation == one.incarnation)
         {
-            row = *known;
+            row = *existing;
         }
         else
         {
--- a/bilberrylead/agreement/peer_table.hpp
+++ b/bilberrylead/agreement/peer_table.hpp
@@ -13,19 +13,20 @@
 namespace bilberrylead::agreement
 {
 
-/// A leader's view of the other members, and what a quorum has reached.
+/// A leader's view of the other members, and the values that a quorum has
+/// reached.
 class peer_table
 {
 public:
-    /// Forgets everybody.
+    /// Removes all rows.
     void clear();
 
-    /// Brings the rows in line with a membership; a new incarnation is a
-    /// new row, which starts at `next_index` and is listed since `now`.
+    /// Updates the rows to a membership. A new incarnation gets a new row,
+    /// which starts at `next_index` and is listed since `now`.
     void update_members(membership const& current, host_id const& self,
                         std::uint64_t next_index, instant now);
 
-    /// The row of a host, or nullptr.
+    /// Returns the row of a host, or nullptr.
     peer_progress* find(host_id const& host);
 
     /// Every row, ordered by host.
@@ -33,14 +34,16 @@
     /// Every row, ordered by host.
     std::vector<peer_progress> const& all() const;
 
-    /// Highest index that a quorum holds; `own` counts if self votes.
+    /// Highest index that a quorum stores; `own` counts if this replica votes.
     std::uint64_t quorum_match_index(bool self_votes, std::uint64_t own) const;
 
-    /// Latest round that a quorum answered; `own` counts if self votes.
+    /// Latest round that a quorum replied to; `own` counts if this replica
+    /// votes.
     std::uint64_t quorum_round(bool self_votes, std::uint64_t own) const;
 
-    /// Latest time such that a quorum answered a message sent then or
-    /// later; nothing if a quorum has not answered yet.
+    /// Latest time such that a quorum replied to messages sent then or later;
+    /// nullopt if no quorum has replied yet. `own` counts if this replica
+    /// votes.
     std::optional<instant> quorum_acked_send_time(bool self_votes,
                                                   instant own) const;
 
--- a/bilberrylead/agreement/pending_proposals.hpp
+++ b/bilberrylead/agreement/pending_proposals.hpp
@@ -10,24 +10,25 @@
 namespace bilberrylead::agreement
 {
 
-/// A leader's proposals that are not committed yet, in order of index.
+/// A leader's proposals that are not committed yet, ordered by index.
 class pending_proposals
 {
 public:
-    /// Works on the replica's shared state.
+    /// Keeps a reference to the shared state, which must outlive this object.
     explicit pending_proposals(replica_core& shared);
 
-    /// True if one more of this size would pass a bound.
+    /// True if another proposal of this size, in bytes, would exceed a limit.
     bool would_exceed_limits(std::size_t payload_bytes) const;
 
-    /// Remembers who asked for an entry.
+    /// Adds the proposal that was appended at `index`.
     void add(std::uint64_t index, std::uint64_t token,
              std::size_t payload_bytes);
 
-    /// Answers for an entry that is committed, if somebody asked for it.
+    /// Reports the proposal at `index`, if there is one, as accepted.
     void on_committed(std::uint64_t index);
 
-    /// The office is lost: nobody can say now what becomes of them.
+    /// Called when leadership is lost: reports the outcome of every pending
+    /// proposal as unknown.
     void abandon_all();
 
 private:
--- a/bilberrylead/agreement/read_queue.hpp
+++ b/bilberrylead/agreement/read_queue.hpp
@@ -10,22 +10,22 @@
 namespace bilberrylead::agreement
 {
 
-/// Reads that must see everything accepted before them. Under the lease
-/// they are answered at once, else when a quorum has answered a message
-/// that was sent after the read came in.
+/// Linearizable reads. Under the lease they are answered at once, otherwise
+/// when a quorum has replied to a message that was sent after the read was
+/// requested.
 class read_queue
 {
 public:
-    /// Works on the replica's shared state.
+    /// Keeps references to both; they must outlive this object.
     read_queue(replica_core& shared, agreement::leadership& lead);
 
-    /// Answers at once, or queues.
+    /// Answers or refuses the read at once, or queues it.
     void on_read_requested(std::uint64_t token);
 
-    /// Answers those that a quorum has confirmed.
+    /// Answers the queued reads that a quorum has confirmed.
     void answer_confirmed();
 
-    /// The office is lost.
+    /// Called when leadership is lost: refuses every queued read.
     void refuse_all();
 
 private:
--- a/bilberrylead/agreement/record_json.cpp
+++ b/bilberrylead/agreement/record_json.cpp
@@ -1,5 +1,6 @@
 #include "bilberrylead/agreement/record_json.hpp"
 
+#include <fmt/format.h>
 #include <nlohmann/json.hpp>
 
 #include <array>
@@ -15,7 +16,8 @@
 
 using nlohmann::json;
 
-/// Most members or entries of one record; far above any that is written.
+/// Maximum number of members or entries in one record; far above any that is
+/// written.
 constexpr std::size_t max_list_length = 65536;
 
 template <class Record>
@@ -36,7 +38,10 @@
     std::vector<Record> records;
     if (list.size() > max_list_length)
     {
-        reader.fail(error_kind::bad_value, "A list is too long.");
+        reader.fail(
+            error_kind::bad_value,
+            fmt::format("The field {} has {} elements; the maximum is {}.",
+                        name, list.size(), max_list_length));
         return records;
     }
     for (json const& one : list)
@@ -76,7 +81,8 @@
 template <>
 membership read_record<membership>(record_reader& reader)
 {
-    // Through put, since the order by host is part of its meaning.
+    // Members are added with put, since the order by host is part of the
+    // membership's value.
     membership value;
     for (member const& one : read_list<member>(reader, "members"))
     {
@@ -102,7 +108,8 @@
     std::uint64_t const kind = reader.number("kind");
     if (kind > static_cast<std::uint64_t>(entry_kind::membership))
     {
-        reader.fail(error_kind::bad_value, "An entry's kind is not known.");
+        reader.fail(error_kind::bad_value,
+                    fmt::format("Unknown log entry kind {}.", kind));
     }
     value.kind = static_cast<entry_kind>(kind);
     value.payload = reader.binary("payload");
@@ -122,7 +129,7 @@
     hard_state value;
     value.term = reader.number("term");
     value.voted_for = host_id(reader.text("voted_for"));
-    // Folders of earlier versions do not have it.
+    // Data folders of earlier versions do not contain this field.
     value.committed = reader.number_or("committed", 0);
     return value;
 }
--- a/bilberrylead/agreement/record_json.hpp
+++ b/bilberrylead/agreement/record_json.hpp
@@ -13,24 +13,24 @@
 namespace bilberrylead::agreement
 {
 
-/// A record as the JSON value that is written as CBOR.
+/// Converts a record to the JSON value that is encoded as CBOR.
 nlohmann::json write_record(member const& value);
-/// See above.
+/// As above.
 nlohmann::json write_record(membership const& value);
-/// See above.
+/// As above.
 nlohmann::json write_record(log_entry const& value);
-/// See above.
+/// As above.
 nlohmann::json write_record(hard_state const& value);
-/// See above.
+/// As above.
 nlohmann::json write_record(snapshot const& value);
-/// See above.
+/// As above.
 nlohmann::json write_record(append_request const& value);
-/// See above.
+/// As above.
 nlohmann::json write_record(install_snapshot_request const& value);
-/// See above.
+/// As above.
 nlohmann::json write_record(message const& value);
 
-/// Reads a record; the reader keeps the error, if there is one.
+/// Reads a record; the reader keeps the first error.
 template <class Record>
 Record read_record(record_reader& reader);
 
--- a/bilberrylead/agreement/record_reader.cpp
+++ b/bilberrylead/agreement/record_reader.cpp
@@ -38,7 +38,7 @@
 {
     if (!this->source.is_object())
     {
-        this->fail(error_kind::bad_value, "A record is not a map.");
+        this->fail(error_kind::bad_value, "The record is not a map.");
     }
 }
 
@@ -67,7 +67,7 @@
     }
     if (!value->is_number_unsigned())
     {
-        this->fail_type(name, "a whole number from 0");
+        this->fail_type(name, "an unsigned integer");
         return 0;
     }
     return value->get<std::uint64_t>();
@@ -87,7 +87,7 @@
     }
     if (!value->is_boolean())
     {
-        this->fail_type(name, "true or false");
+        this->fail_type(name, "a boolean");
         return false;
     }
     return value->get<bool>();
@@ -102,7 +102,7 @@
     }
     if (!value->is_string())
     {
-        this->fail_type(name, "a text");
+        this->fail_type(name, "a string");
         return {};
     }
     return value->get<std::string>();
@@ -139,7 +139,7 @@
     }
     if (!value->is_array())
     {
-        this->fail_type(name, "a list");
+        this->fail_type(name, "an array");
         return empty;
     }
     return *value;
--- a/bilberrylead/agreement/record_reader.hpp
+++ b/bilberrylead/agreement/record_reader.hpp
@@ -13,16 +13,17 @@
 namespace bilberrylead::agreement
 {
 
-/// Reads the fields of one decoded record, whatever they turn out to be.
-/// The first error is kept; from then on every field reads as empty, so
-/// that a record is read without a branch per field.
+/// Reads the fields of one decoded record of any content. Keeps the first
+/// error; after it every field reads as empty, so that callers need no branch
+/// per field.
 class record_reader
 {
 public:
-    /// Reads an outermost record, which must outlive the reader.
+    /// Reads a top-level record, which must outlive the reader.
     explicit record_reader(nlohmann::json const& record);
 
-    /// Reads a record inside another; its errors are the outer one's.
+    /// Reads a nested record and reports errors to the outer reader. Both
+    /// arguments must outlive the reader.
     record_reader(nlohmann::json const& record, record_reader const& outer);
 
     record_reader(record_reader const&) = delete;
@@ -31,22 +32,23 @@
     /// The first error, or OK.
     absl::Status const& status() const;
 
-    /// A whole number from 0.
+    /// Reads an unsigned integer.
     std::uint64_t number(char const* name);
-    /// A whole number from 0, or `missing` if there is no such field.
+    /// Reads an unsigned integer, or returns `fallback` if the field does not
+    /// exist.
     std::uint64_t number_or(char const* name, std::uint64_t fallback);
-    /// True or false.
+    /// Reads a boolean.
     bool flag(char const* name);
-    /// A text.
+    /// Reads a string.
     std::string text(char const* name);
-    /// A byte string.
+    /// Reads a byte string.
     bytes binary(char const* name);
-    /// A field for an inner reader.
+    /// Returns a field for a nested reader.
     nlohmann::json const& record(char const* name);
-    /// A list; an empty one after an error.
+    /// Returns an array; an empty one after an error.
     nlohmann::json const& list(char const* name);
 
-    /// Notes an error, unless there was one before.
+    /// Records an error, unless there is one already.
     void fail(error_kind kind, std::string_view message);
 
 private:
--- a/bilberrylead/agreement/replica.hpp
+++ b/bilberrylead/agreement/replica.hpp
@@ -19,15 +19,16 @@
 
 class replica_parts;
 
-/// One replica of the log: a reducer without clock, I/O or randomness of
-/// its own. The same seed, events and times give the same effects.
-/// Not thread-safe; owned by the program's event loop.
+/// One replica of the log: a reducer without clock, I/O or randomness of its
+/// own. The same seed, events and times give the same effects. Not thread-safe;
+/// owned by the program's event loop.
 class replica
 {
 public:
-    /// Makes the replica of one data folder's life. `incarnation` is stored
-    /// in the data folder and greater than any the host had before (1 for
-    /// founders); `seed` spreads election timeouts and differs by host.
+    /// Creates the replica for one incarnation of a data folder. `incarnation`
+    /// is stored in the data folder and is greater than any the host had before
+    /// (1 for initial members); `seed` spreads the election timeouts and must
+    /// differ between hosts.
     replica(host_id const& self, std::uint64_t incarnation,
             replica_settings const& settings, std::uint64_t seed,
             safeguards const& enabled_safeguards = {});
@@ -37,20 +38,22 @@
     replica(replica&&) = delete;
     replica& operator=(replica&&) = delete;
 
-    /// Takes one event. `now` never goes back. The first event is started.
+    /// Processes one event and returns its effects. `now` must never decrease.
+    /// The first event must be `started`.
     std::vector<effect> reduce(event const& event, instant now);
 
-    /// Takes several events at once: their writes share one sync. Same
-    /// outcome as one by one, in fewer syncs under load.
+    /// Processes several events in one call, so that their writes share one
+    /// sync. The outcome is the same as one by one, with fewer syncs under
+    /// load.
     std::vector<effect> reduce(std::span<event const> events, instant now);
 
-    /// The role now.
+    /// The current role.
     agreement::role role() const;
 
     /// The latest term seen.
     std::uint64_t term() const;
 
-    /// Who leads as far as known; empty if unknown.
+    /// The leader of the current term; empty if unknown.
     host_id const& leader() const;
 
     /// Highest index known to be committed.
@@ -59,14 +62,14 @@
     /// Index of the last entry in the log, committed or not.
     std::uint64_t last_index() const;
 
-    /// The membership in force here: the latest in the log.
+    /// The membership in force at this replica: the latest one in its log.
     agreement::membership const& membership() const;
 
-    /// How each member does, by host; empty unless this replica leads.
+    /// State of each member, ordered by host; empty unless this replica leads.
     std::vector<member_state> members(instant now) const;
 
-    /// True while this replica leads and no other can have been elected,
-    /// so that what was committed here is the newest there is.
+    /// True while this replica leads and no other can have been elected, so
+    /// that its committed state is the newest there is.
     bool holds_lease(instant now) const;
 
 private:
--- a/bilberrylead/agreement/replica_core.cpp
+++ b/bilberrylead/agreement/replica_core.cpp
@@ -24,9 +24,9 @@
                                   this->incarnation);
 }
 
-/// A host that an uncommitted change takes out may be the only one with
-/// that entry. Nobody with a shorter log gets its vote, so that the group
-/// stands still for ever unless it leads once more, to settle the change.
+/// A host that an uncommitted change removes may be the only one that holds
+/// this entry. It votes for nobody with a shorter log, so the group would be
+/// blocked for ever unless this host leads once more to commit the change.
 bool replica_core::may_lead() const
 {
     if (this->is_voter())
--- a/bilberrylead/agreement/replica_core.hpp
+++ b/bilberrylead/agreement/replica_core.hpp
@@ -20,7 +20,7 @@
 namespace bilberrylead::agreement
 {
 
-/// What all parts of a replica share. Owned by replica_parts, which also
+/// State shared by all parts of a replica. Owned by replica_parts, which also
 /// sets `now`.
 class replica_core
 {
@@ -30,73 +30,75 @@
                  replica_settings const& own_settings, std::uint64_t seed,
                  safeguards const& enabled);
 
-    /// The role now.
+    /// The current role.
     agreement::role role() const;
 
-    /// True if the membership in force counts this replica's vote.
+    /// True if this replica is a voter in the membership in force.
     bool is_voter() const;
 
-    /// True if this replica may stand for election: it is a voter, or it
-    /// was one before a change that is not known to be committed.
+    /// True if this replica may stand for election: it is a voter, or was one
+    /// before a change that is not known to be committed.
     bool may_lead() const;
 
-    /// Takes over a later term, without a vote in it; nothing otherwise.
+    /// Adopts a later term without a vote in it and becomes a follower; does
+    /// nothing if `term` is not later.
     void adopt_term(std::uint64_t term);
 
-    /// Sets term and vote and has them written.
+    /// Sets term, vote and commit index and writes them.
     void set_hard_state(std::uint64_t term, host_id const& voted_for);
 
-    /// Makes durable how far the log is committed, if that is news and the
-    /// last such note is some time ago.
+    /// Writes the commit index if it has advanced and
+    /// commit_index_persist_interval has passed since the last write.
     void record_commit_index();
 
-    /// Makes the message that says `body` now.
+    /// Builds a message with `body` and the current term and incarnation.
     message make_message(message_body body) const;
 
-    /// Sends once everything written so far is durable; `durable_first`
-    /// is false only with a safeguard switched off.
+    /// Sends a message once everything written so far is durable.
+    /// `wait_for_sync` is false only with a safeguard switched off.
     void send_after_sync(host_id const& to, message_body body,
                          bool wait_for_sync = true);
 
-    /// Takes up the role of voter or learner that the membership gives.
+    /// Joins or leaves the voters according to the membership in force.
     void update_role_from_membership();
 
-    /// True if a membership counts the vote of exactly this incarnation.
+    /// True if the vote of this incarnation of the host counts under `members`.
     bool is_counted_voter(membership const& members, host_id const& host,
                           std::uint64_t sender_incarnation) const;
 
-    /// Who this is.
+    /// This host.
     host_id self;
-    /// Which life of its data folder.
+    /// Incarnation of its data folder.
     std::uint64_t incarnation;
-    /// Pace.
+    /// Timing and limits.
     replica_settings settings;
-    /// Tests only.
+    /// Safeguards in effect; only tests switch any of them off.
     safeguards enabled_safeguards;
-    /// Spreads election timeouts.
+    /// Random source for the election timeouts.
     std::mt19937_64 random;
-    /// Time of the event at work.
+    /// Time of the current call.
     instant now;
-    /// As written.
+    /// Hard state as last written; may not be durable yet.
     agreement::hard_state hard_state;
-    /// As written.
+    /// The log as written; its end may not be durable yet.
     replica_log log;
-    /// Memberships in the log.
+    /// Memberships introduced by the log.
     membership_history memberships;
-    /// The newest snapshot, if any; shared with transfers under way.
+    /// The newest snapshot, or nullptr; shared with transfers in progress.
     std::shared_ptr<snapshot const> latest_snapshot;
     /// Highest index known to be committed; equals the last applied index
     /// between events.
     std::uint64_t commit_index = 0;
-    /// When `hard_state` last took the commit index over.
+    /// When `hard_state` was last written with the commit index.
     instant commit_index_recorded_at{};
-    /// Last index when the call began: durable before any effect of it.
+    /// Last index at the beginning of the call: durable before any effect of
+    /// the call is executed.
     std::uint64_t durable_index = 0;
-    /// Who leads in the present term; empty if unknown.
+    /// Leader of the current term; empty if unknown.
     host_id leader;
-    /// The role's life cycle.
+    /// State machine of the role.
     role_life_cycle life_cycle;
-    /// Effects of the call at work.
+    /// Effects of the current call.
     effect_collector effects;
 };
 
--- a/bilberrylead/agreement/replica_parts.cpp
+++ b/bilberrylead/agreement/replica_parts.cpp
@@ -30,8 +30,8 @@
     this->core.durable_index = this->core.log.last_index();
     if (this->core.role() == role::leader)
     {
-        // Before anything else: a leader that was frozen must not act on
-        // its first event as if no time had passed.
+        // Checked before any event: a leader whose process was suspended must
+        // not act on its first event as if no time had passed.
         this->leadership.start_round();
         this->leadership.check_quorum();
         this->handle_role_change(role::leader);
@@ -68,8 +68,8 @@
 
 void replica_parts::on(started const& event)
 {
-    // Before the restart it may have answered a leader that still counts
-    // on this answer for its lease.
+    // Before the restart this host may have replied to a leader whose lease
+    // still relies on that reply.
     this->elections.record_leader_contact();
     bool const blank = !event.snapshot.has_value() && event.entries.empty() &&
                        event.hard_state.term == 0;
@@ -84,8 +84,8 @@
 
 void replica_parts::bootstrap_group(membership const& initial_membership)
 {
-    // The same entry at every founder, as if a leader of term 1 had
-    // brought it; the first real leader commits it.
+    // Every initial member writes the same entry, as if a leader of term 1 had
+    // sent it; the first elected leader commits it.
     log_entry first{1, 1, entry_kind::membership,
                     encode_membership(initial_membership)};
     this->core.set_hard_state(1, host_id());
@@ -115,7 +115,8 @@
         }
         if (one.index == state.log.base_index())
         {
-            // Another leader's log, from before the snapshot replaced it.
+            // These entries are from another leader's log, which the snapshot
+            // replaced.
             if (one.term != state.log.last_term())
             {
                 break;
@@ -138,15 +139,15 @@
         }
     }
 
-    // Entries became durable and their term did not: nothing was answered
-    // in that term, so that no vote in it is lost.
+    // The entries became durable but their term did not. Nothing was sent in
+    // that term, so no vote in it is lost.
     if (state.log.last_term() > state.hard_state.term)
     {
         state.set_hard_state(state.log.last_term(), host_id());
     }
 
-    // What was committed once stays so: the state is whole again before
-    // there is a leader, and hosts that ask get what was in force.
+    // Committed entries stay committed, so they are applied before there is a
+    // leader: hosts that ask can be sent the state that was in force.
     this->applier.commit_through(
         std::min(event.hard_state.committed, state.log.last_index()));
 }
@@ -226,7 +227,8 @@
         std::get_if<append_request>(&received.body);
     if (received.term < this->core.hard_state.term)
     {
-        // The term in the answer tells the old leader that it is one.
+        // The term in the reply tells the old leader that it has been
+        // superseded.
         this->core.send_after_sync(from, append_reply{});
         return;
     }
--- a/bilberrylead/agreement/replica_parts.hpp
+++ b/bilberrylead/agreement/replica_parts.hpp
@@ -20,7 +20,7 @@
 namespace bilberrylead::agreement
 {
 
-/// The parts of a replica, and which event goes to which of them.
+/// The components of a replica, and the dispatch of events to them.
 class replica_parts
 {
 public:
@@ -29,18 +29,18 @@
                   replica_settings const& settings, std::uint64_t seed,
                   safeguards const& enabled_safeguards);
 
-    /// Opens a call.
+    /// Begins a call at time `now`.
     void begin_call(instant now);
-    /// Takes one event of the call.
+    /// Processes one event of the call.
     void process(event const& event);
-    /// Closes the call.
+    /// Ends the call and returns its effects.
     std::vector<effect> finish_call();
 
     /// Shared state.
     replica_core core;
-    /// Open proposals.
+    /// Proposals that are not committed yet.
     pending_proposals proposals;
-    /// Commit and snapshots.
+    /// Commits and snapshots.
     log_applier applier;
     /// Elections.
     election elections;
@@ -48,13 +48,13 @@
     append_receiver appends;
     /// Follower's side of snapshots.
     snapshot_receiver snapshots;
-    /// Leader's side.
+    /// Leader's duties.
     agreement::leadership leadership;
-    /// Reads.
+    /// Pending reads.
     read_queue reads;
-    /// Membership.
+    /// Membership changes.
     membership_changer membership_changes;
-    /// Planned stops.
+    /// Transfer of leadership before a planned stop.
     handover leader_handover;
 
 private:
--- a/bilberrylead/agreement/replica_settings.hpp
+++ b/bilberrylead/agreement/replica_settings.hpp
@@ -9,52 +9,55 @@
 namespace bilberrylead::agreement
 {
 
-/// How a replica paces itself. The same at every member of a group.
+/// Timing and limits of a replica. The same at every member of a group.
 struct replica_settings
 {
-    /// A voter that heard a leader within this time turns candidates down,
-    /// and one that did not for one to two times as long (drawn by the
-    /// seed) tries to be elected. 700 ms is ten round trips between the
-    /// regions (35 ms one way), so that a slow sync is no election.
+    /// A voter denies votes within this time of a leader's message. After one
+    /// to two times as long without one (drawn from the seed) it starts an
+    /// election. 700 ms is ten round trips between regions (35 ms one way), so
+    /// that a slow sync does not cause an election.
     duration election_timeout = std::chrono::milliseconds(700);
-    /// Leader's pause between heartbeats: four may get lost in a row.
+    /// Interval between a leader's heartbeats: four in a row may be lost.
     duration heartbeat_interval = std::chrono::milliseconds(140);
-    /// How often `tick` is due; half a heartbeat keeps timers exact enough.
+    /// Interval between `tick` events; half a heartbeat interval keeps timers
+    /// accurate enough.
     duration tick_interval = std::chrono::milliseconds(70);
-    /// Shortest time between two notes of how far the log is committed. Each
-    /// is a sync of its own; what was accepted since the last one waits for
-    /// a leader if all hosts lose power at once.
+    /// Minimum interval between writes of the commit index. Each costs a sync
+    /// of its own; if all hosts lose power at once, entries accepted since the
+    /// last one are applied only when there is a leader.
     duration commit_index_persist_interval = std::chrono::milliseconds(200);
-    /// Taken off the election timeout to get the lease: covers monotonic
+    /// Subtracted from the election timeout to get the lease. Covers monotonic
     /// clocks that run at different rates (150 ms in 700 is far beyond any
-    /// crystal), so that the old lease ends before a successor starts.
+    /// crystal oscillator), so that the old lease ends before a successor is
+    /// elected.
     duration lease_margin = std::chrono::milliseconds(150);
-    /// Most entries of one append: bounds what a follower syncs at once.
+    /// Maximum entries in one append; limits what a follower syncs at once.
     std::size_t max_append_entries = 256;
-    /// Most payload bytes of one append (at least one entry goes): a
-    /// 10 Mbit/s link carries it within half an election timeout.
+    /// Maximum payload bytes in one append (at least one entry is sent): a 10
+    /// Mbit/s link carries it within half an election timeout.
     std::size_t max_append_bytes = 256UL * 1024;
-    /// How far sends run ahead of a member's answers, in entries: enough
-    /// for a 70 ms round trip at 10,000 entries a second.
+    /// Maximum entries sent to a member and not yet acknowledged: enough for a
+    /// 70 ms round trip at 10,000 entries a second.
     std::uint64_t max_inflight_entries = 1024;
-    /// Most entries that wait to be committed; more proposals are refused
-    /// at once. Bounds memory when the quorum is slow or gone.
+    /// Maximum uncommitted entries; further proposals are refused at once.
+    /// Limits memory when the quorum is slow or unavailable.
     std::uint64_t max_uncommitted_entries = 4096;
-    /// Most payload bytes that wait to be committed, for the same reason.
+    /// Maximum payload bytes of uncommitted entries, for the same reason.
     std::size_t max_uncommitted_bytes = 16UL * 1024 * 1024;
-    /// Entries applied since the last snapshot that make a new one due.
+    /// Entries applied since the last snapshot before a new one is taken.
     std::uint64_t snapshot_threshold = 4096;
-    /// Entries kept behind a snapshot, so that a member that is only a
-    /// little late gets entries and not the whole state.
+    /// Entries retained behind a snapshot, so that a member that is slightly
+    /// behind receives entries and not the complete state.
     std::uint64_t kept_entries = 1024;
-    /// Bytes of one snapshot chunk; as max_append_bytes.
+    /// Size of a snapshot chunk in bytes, for the same reason as
+    /// max_append_bytes.
     std::size_t snapshot_chunk_bytes = 256UL * 1024;
-    /// Largest snapshot that is kept or taken in; bounds what a member can
-    /// make another one hold. The state machine's own bounds must stay
-    /// below it: without snapshots the log grows.
+    /// Largest snapshot that is stored or received, in bytes; limits the memory
+    /// that one member can make another one use. The state machine's own limits
+    /// must stay below it: without snapshots the log grows.
     std::size_t max_snapshot_bytes = 256UL * 1024 * 1024;
-    /// A learner at most this far behind the commit index has caught up:
-    /// one append brings the rest.
+    /// A learner at most this many entries behind the last index has caught up:
+    /// one append sends the rest.
     std::uint64_t caught_up_entries = 64;
 };
 
--- a/bilberrylead/agreement/role.hpp
+++ b/bilberrylead/agreement/role.hpp
@@ -7,20 +7,21 @@
 namespace bilberrylead::agreement
 {
 
-/// What a replica is to its group now.
+/// The role of a replica in its group.
 enum class role : std::uint8_t
 {
-    /// Receives the log; has no vote that counts.
+    /// Receives the log; its vote does not count.
     learner,
     /// A voter that follows a leader or waits for one.
     follower,
-    /// A voter that asks whether it could win, without touching its term.
+    /// A voter that asks whether it could win an election, without raising its
+    /// term.
     pre_candidate,
-    /// A voter that asks for votes in a new term.
+    /// A voter that requests votes in a new term.
     candidate,
-    /// The one that appends to the log in its term.
+    /// The one replica that appends to the log in its term.
     leader,
-    /// Its disk failed: it answers nothing any more.
+    /// The disk failed; the replica no longer replies.
     stopped,
 };
 
--- a/bilberrylead/agreement/role_life_cycle.cpp
+++ b/bilberrylead/agreement/role_life_cycle.cpp
@@ -35,7 +35,7 @@
 {
 };
 
-/// A state that says which role it stands for.
+/// State that sets the role it represents on entry.
 template <agreement::role Role>
 struct role_state : public front::state<>
 {
@@ -84,7 +84,7 @@
     };
     // clang-format on
 
-    /// Steps without a row change nothing.
+    /// Events without a transition are ignored.
     template <class Event, class Machine>
     void no_transition(Event const&, Machine&, int)
     {
--- a/bilberrylead/agreement/role_life_cycle.hpp
+++ b/bilberrylead/agreement/role_life_cycle.hpp
@@ -8,8 +8,8 @@
 namespace bilberrylead::agreement
 {
 
-/// Which role may follow which. A step that the present role does not know
-/// leaves it as it is.
+/// State machine of the role. An event with no transition from the current role
+/// is ignored.
 class role_life_cycle
 {
 public:
@@ -21,22 +21,22 @@
     role_life_cycle(role_life_cycle&&) = delete;
     role_life_cycle& operator=(role_life_cycle&&) = delete;
 
-    /// The role now.
+    /// The current role.
     role current() const;
 
-    /// The membership now counts this replica's vote.
+    /// The membership in force lists this replica as a voter.
     void join_voters();
-    /// The membership no longer counts this replica's vote.
+    /// The membership in force no longer lists this replica as a voter.
     void leave_voters();
-    /// No leader was heard for too long.
+    /// The election timer expired without contact with a leader.
     void start_pre_vote();
-    /// A quorum would vote for it, or the leader hands over.
+    /// A quorum granted pre-votes, or the leader requested the election.
     void campaign();
-    /// A quorum voted for it.
+    /// A quorum granted votes.
     void win();
-    /// A leader or a later term showed itself, or the quorum is gone.
+    /// There is another leader or a later term, or the quorum is lost.
     void follow();
-    /// The disk failed; there is no way back.
+    /// The disk failed; this role is final.
     void stop();
 
 private:
--- a/bilberrylead/agreement/send_rounds.hpp
+++ b/bilberrylead/agreement/send_rounds.hpp
@@ -10,22 +10,22 @@
 namespace bilberrylead::agreement
 {
 
-/// Numbers a leader's calls that send, and remembers when each was, so
-/// that an answer tells how old what it answers is. The clock itself never
-/// leaves the host.
+/// Numbers a leader's calls and records when each one started. The number is
+/// echoed in replies, so that the leader can tell when the acknowledged message
+/// was sent. Clock values never leave the host.
 class send_rounds
 {
 public:
     /// Starts the next round.
     void next(instant now);
 
-    /// The round at work.
+    /// Number of the current round.
     std::uint64_t current() const;
 
-    /// When a round was; nothing if it is forgotten or yet to come.
+    /// Start time of a round; nullopt if it was discarded or has not started.
     std::optional<instant> started_at(std::uint64_t round) const;
 
-    /// Forgets rounds older than `oldest`.
+    /// Discards rounds that started before `oldest`, except the current one.
     void forget_before(instant oldest);
 
 private:
--- a/bilberrylead/agreement/snapshot_receiver.hpp
+++ b/bilberrylead/agreement/snapshot_receiver.hpp
@@ -11,16 +11,17 @@
 namespace bilberrylead::agreement
 {
 
-/// A follower's side of install_snapshot_request: puts the chunks together
-/// in memory and installs the whole. The sender is known to lead in the
-/// present term.
+/// Follower's side of install_snapshot_request: assembles the chunks in memory
+/// and installs the complete snapshot. The caller has checked that the sender
+/// is the leader of the current term.
 class snapshot_receiver
 {
 public:
-    /// Works on the replica's shared state.
+    /// Keeps references to both; they must outlive this object.
     snapshot_receiver(replica_core& shared, log_applier& to_apply);
 
-    /// Takes in the chunk if it is the next one, and answers.
+    /// Appends the chunk if it is the next one, installs the snapshot once it
+    /// is complete, and replies. Ignores a chunk outside the limits.
     void on_install_snapshot_request(host_id const& from,
                                      install_snapshot_request const& request);
 
--- a/tests/unit/agreement/codec_test.cpp
+++ b/tests/unit/agreement/codec_test.cpp
@@ -27,7 +27,7 @@
     return members;
 }
 
-/// One message of each kind, no field at its default.
+/// One message of each kind, with every field set.
 std::vector<message> every_message()
 {
     log_entry const command{3, 9, entry_kind::command, {1, 2, 3}};
@@ -116,12 +116,12 @@
         {"trailing byte", {0xa0, 0x00}, error_kind::syntax},
         {"a number", {0x05}, error_kind::bad_value},
         {"empty map", {0xa0}, error_kind::missing_field},
-        // A million arrays, maps, and tags: too deep for any stack.
+        // A million nested arrays, maps or tags would overflow any stack.
         {"deep arrays", nested(0x81, 1000000), error_kind::syntax},
         {"deep endless arrays", nested(0x9f, 1000000), error_kind::syntax},
         {"deep maps", nested(0xa1, 1000000), error_kind::syntax},
         {"tags", nested(0xc1, 1000000), error_kind::syntax},
-        // Lengths that no memory has.
+        // Declared lengths larger than any memory.
         {"long array",
          {0x9b, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff},
          error_kind::syntax},
--- a/tests/unit/agreement/failure_test.cpp
+++ b/tests/unit/agreement/failure_test.cpp
@@ -16,10 +16,10 @@
 
 Test(replica, leader_when_isolated_for_long_steps_down_and_comes_back_in_line)
 {
-    // An operator on the far side of a cut keeps asking the old leader. The
-    // cut comes without a sign, a change is on its way, the others elect and
-    // go on. The old leader must notice by its own clock and say "unknown",
-    // since the change may still be found in somebody's log.
+    // A leader is isolated with an uncommitted proposal in its log; the others
+    // elect a successor and continue. The old leader must step down by its own
+    // clock and report the proposal's outcome as unknown, since another log may
+    // still contain the entry.
     group_fixture group;
     std::size_t const old = *group.leader();
     group.isolate(old);
@@ -36,7 +36,7 @@
     std::uint64_t const term = group.hosts[next].replica->term();
     group.heal();
     group.run_for(2s);
-    cr_assert_eq(*group.leader(), next, "The healthy leader was unseated.");
+    cr_assert_eq(*group.leader(), next, "The healthy leader was deposed.");
     cr_assert_eq(group.hosts[next].replica->term(), term);
     cr_assert_eq(group.hosts[old].applied, group.checker.committed());
     group.expect_no_violation();
@@ -44,9 +44,9 @@
 
 Test(replica, leader_when_thawed_answers_no_read_from_the_past)
 {
-    // A leader is frozen, a successor accepts a change, the old one thaws
-    // and finds a read waiting before any tick or message. Its first event
-    // must not be answered from the lease it held.
+    // A leader's process is suspended and a successor accepts a proposal. When
+    // the old leader resumes, its first event is a read, before any tick or
+    // message; the read must not be answered under the expired lease.
     group_fixture group;
     std::size_t const old = *group.leader();
     group.hosts[old].frozen = true;
@@ -62,9 +62,9 @@
 
 Test(replica, old_and_new_leader_when_racing_accept_one_change)
 {
-    // Two operators send a change at the same moment, one to a leader that
-    // was just cut off, one to its successor. Only the one that a quorum
-    // holds is accepted; the other operator hears that it is unknown.
+    // One proposal goes to a leader that was just isolated, another to its
+    // successor. Only the one that a quorum stores is accepted; the outcome of
+    // the other one is unknown.
     group_fixture group;
     std::size_t const old = *group.leader();
     group.isolate(old);
@@ -83,9 +83,9 @@
 
 Test(replica, host_when_restarted_after_500_changes_catches_up_by_snapshot)
 {
-    // A host is down while 500 changes pass and the log is cut behind
-    // snapshots. It comes back with an old log and must end with the same
-    // state, without undoing anything on the way.
+    // A host is down while 500 entries are committed and the log prefix is
+    // replaced by snapshots. After its restart with an old log it must reach
+    // the same state by snapshot and never go back to an older state.
     replica_settings settings;
     settings.snapshot_threshold = 100;
     settings.kept_entries = 20;
@@ -109,17 +109,17 @@
 
 Test(replica, group_when_second_host_is_lost_after_a_repair_goes_on)
 {
-    // A host loses its disk, comes back blank and is taken in again. The
-    // moment it counts as a voter another host dies for good. The operator
-    // sees no gap but the election, and no accepted change is missing.
+    // A host loses its disk and is readmitted. As soon as it is a voter again,
+    // a second host is lost for good. The group must elect a leader again, and
+    // no accepted proposal may be lost.
     group_fixture group;
     std::size_t const leader = *group.leader();
-    std::size_t const blank = group.other_than(leader, leader);
+    std::size_t const wiped = group.other_than(leader, leader);
     cr_assert(group.propose_and_deliver(leader) == outcome::accepted);
-    group.crash(blank);
-    group.lose_disk(blank);
-    group.start(blank);
-    host_id const id = group.hosts[blank].id;
+    group.crash(wiped);
+    group.lose_disk(wiped);
+    group.start(wiped);
+    host_id const id = group.hosts[wiped].id;
     for (int ticks = 0; ticks < 100; ++ticks)
     {
         if (group.hosts[leader].replica->membership().is_voter(id, 2))
@@ -139,9 +139,10 @@
 
 Test(replica, sole_voter_when_it_crashes_before_the_sync_told_no_commit)
 {
-    // Schedule seed 823 found this: a group of one voter and a learner. The
-    // voter commits in the call that writes, sends beside the sync and dies
-    // before it. The learner must not have applied what the voter lost.
+    // Found by schedule seed 823, with one voter and a learner: the voter
+    // commits in the call that writes the entry, sends before the sync and
+    // crashes before it is durable. The learner must not have applied an entry
+    // that the voter lost.
     group_fixture group(1, 1);
     host_id const learner = group.hosts[1].id;
     group.process(0, membership_change_requested{
@@ -164,8 +165,8 @@
 
 Test(replica, disk_when_failed_stops_the_leader_and_a_successor_takes_over)
 {
-    // The leader's disk is full. It must not acknowledge anything more; the
-    // operator's next change goes to the successor.
+    // The leader's disk fails. The leader must acknowledge nothing more, and
+    // the next proposal is accepted by its successor.
     group_fixture group;
     std::size_t const old = *group.leader();
     group.process(old, disk_failed{});
@@ -176,9 +177,9 @@
     group.expect_no_violation();
 }
 
-// All hosts lose power at once and callers wait for the first one that is
-// back: it must know what was in force before there is a leader. Until it
-// does, entry hosts that lost power as well refuse every request.
+// All hosts lose power at once and callers wait for the first one to restart.
+// It must apply the committed entries before there is a leader: until then,
+// entry hosts that lost power as well refuse every request.
 Test(replica, host_when_all_lost_power_applies_what_was_committed_alone)
 {
     group_fixture group(3, 0);
@@ -196,7 +197,8 @@
     group.start(0);
     cr_expect_eq(group.hosts[0].applied, committed);
     group.run_for(5s);
-    cr_expect_not(group.leader().has_value(), "one of three elects nobody");
+    cr_expect_not(group.leader().has_value(),
+                  "one host of three must not elect a leader");
     group.start(1);
     group.run_for(5s);
     cr_expect(group.propose_and_deliver(*group.leader()) == outcome::accepted);
--- a/tests/unit/agreement/fake_disk.hpp
+++ b/tests/unit/agreement/fake_disk.hpp
@@ -11,27 +11,27 @@
 namespace bilberrylead::agreement::tests
 {
 
-/// A data folder: writes are lost by a crash until they are synced, except
-/// for as many of the first ones as the test says.
+/// A simulated data folder: a crash loses the writes that are not synced,
+/// except for as many of the first ones as the test chooses.
 class fake_disk
 {
 public:
-    /// Takes a write, or the permission to drop old entries.
+    /// Adds an unsynced write, or a request to drop a log prefix.
     void write(effect const& write);
 
     /// Makes every write durable.
     void sync();
 
-    /// Loses the writes after the first `kept` unsynced ones.
+    /// Keeps the first `kept` unsynced writes and loses the rest.
     void crash(std::size_t kept);
 
-    /// Loses everything.
+    /// Loses all data.
     void wipe();
 
-    /// How many writes are not durable yet.
+    /// Number of writes that are not durable yet.
     std::size_t unsynced_writes() const;
 
-    /// What a process reads at its start.
+    /// The durable data, as a process reads it at start.
     started read() const;
 
 private:
--- a/tests/unit/agreement/group_checker.cpp
+++ b/tests/unit/agreement/group_checker.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// FNV-1a over all that makes an entry what it is.
+/// One step of an FNV-1a hash over the fields that identify an entry.
 std::uint64_t mix(std::uint64_t digest, std::uint64_t value)
 {
     constexpr std::uint64_t prime = 1099511628211ULL;
@@ -34,7 +34,7 @@
     auto const [leader, added] = this->leaders.try_emplace(term, host);
     if (!added && leader->second != host)
     {
-        this->fail(fmt::format("term {} is led by {} and by {}", term,
+        this->fail(fmt::format("term {} has leaders {} and {}", term,
                                leader->second.text(), host.text()));
     }
 }
@@ -44,15 +44,15 @@
 {
     if (entry.index != position)
     {
-        this->fail(fmt::format("{} applies {} where {} is due", host.text(),
-                               entry.index, position));
+        this->fail(fmt::format("{} applies entry {} where {} is expected",
+                               host.text(), entry.index, position));
         return;
     }
     if (position <= this->log.size())
     {
         if (this->log.at(position - 1).entry != entry)
         {
-            this->fail(fmt::format("{} applies another entry at {}",
+            this->fail(fmt::format("{} applies a different entry at {}",
                                    host.text(), position));
         }
         return;
@@ -68,7 +68,7 @@
     if (restored.last_index > this->log.size() ||
         restored.state != this->state_at(restored.last_index))
     {
-        this->fail(fmt::format("{} takes in a wrong snapshot at {}",
+        this->fail(fmt::format("{} restores a wrong snapshot at {}",
                                host.text(), restored.last_index));
     }
 }
@@ -100,7 +100,7 @@
 {
     if (index < this->min_read_index.at(token))
     {
-        this->fail(fmt::format("{} reads at {}, but {} was told before",
+        this->fail(fmt::format("{} reads at {}, but {} was reported before",
                                host.text(), index,
                                this->min_read_index.at(token)));
     }
--- a/tests/unit/agreement/group_checker.hpp
+++ b/tests/unit/agreement/group_checker.hpp
@@ -14,42 +14,44 @@
 namespace bilberrylead::agreement::tests
 {
 
-/// Sees what all hosts of a group do, and keeps the first breach of what
-/// must hold in every schedule.
+/// Observes all hosts of a group and keeps the first violation of an invariant
+/// that must hold in every schedule.
 class group_checker
 {
 public:
-    /// A host leads; in one term only one may.
+    /// Records that a host leads; a term may have only one leader.
     void record_leader(host_id const& host, std::uint64_t term);
 
-    /// A host applies an entry as its `position`-th; everybody applies the
-    /// same one there.
+    /// Records that a host applies an entry as its `position`-th; all hosts
+    /// must apply the same entry there.
     void record_apply(host_id const& host, std::uint64_t position,
                       log_entry const& entry);
 
-    /// A host takes a snapshot in; it stands for what was applied.
+    /// Records that a host restores a snapshot; it must equal the state after
+    /// the applied entries.
     void record_restore(host_id const& host, snapshot const& restored);
 
-    /// What the state machine holds after so many entries.
+    /// The state machine's state after the entry at `index`.
     bytes state_at(std::uint64_t index) const;
 
-    /// A proposal's asker heard "accepted".
+    /// Records that a proposal was reported as accepted.
     void record_accepted(std::uint64_t index);
 
-    /// A read came in; it must see all that was told to anybody before.
+    /// Records a read request; the read must include everything that was
+    /// reported to any client before.
     void record_read_request(std::uint64_t token);
 
-    /// A read was answered from a state that includes `index`.
+    /// Records that a read was answered from a state that includes `index`.
     void record_read_answer(host_id const& host, std::uint64_t token,
                             std::uint64_t index);
 
-    /// Highest index that anybody applied.
+    /// Highest index that any host has applied.
     std::uint64_t committed() const;
 
-    /// Keeps a breach, if it is the first.
+    /// Keeps the violation, if it is the first.
     void fail(std::string const& message);
 
-    /// The first breach.
+    /// The first violation.
     std::optional<std::string> violation;
 
 private:
--- a/tests/unit/agreement/group_fixture.hpp
+++ b/tests/unit/agreement/group_fixture.hpp
@@ -11,7 +11,8 @@
 namespace bilberrylead::agreement::tests
 {
 
-/// Three founders (and spares, if asked for) that have elected a leader.
+/// A group of initial members, three by default, and optional spare hosts,
+/// which has elected a leader.
 struct group_fixture : test_group
 {
     explicit group_fixture(std::size_t initial_members = 3,
@@ -24,7 +25,7 @@
                   this->describe().c_str());
     }
 
-    /// Proposes, delivers everything, and tells what became of it.
+    /// Proposes, delivers all messages and returns the outcome.
     outcome propose_and_deliver(std::size_t host_index)
     {
         std::uint64_t const token = this->propose_at(host_index);
@@ -33,7 +34,7 @@
         return this->outcome_of(token);
     }
 
-    /// A host other than these.
+    /// The first host that is neither of these.
     std::size_t other_than(std::size_t one, std::size_t another) const
     {
         std::size_t host_index = 0;
--- a/tests/unit/agreement/membership_test.cpp
+++ b/tests/unit/agreement/membership_test.cpp
@@ -50,13 +50,13 @@
 
 Test(membership, change_that_leaves_no_live_quorum_is_refused)
 {
-    // One of three hosts is down. An operator takes out the wrong one of
-    // the two that live; let in, it could never be committed nor undone.
+    // One of three hosts is down and an operator removes one of the two that
+    // respond. If accepted, the change could be neither committed nor undone.
     group_fixture group;
     std::size_t const leader = *group.leader();
-    std::size_t const dead = group.other_than(leader, leader);
-    std::size_t const live = group.other_than(leader, dead);
-    group.crash(dead);
+    std::size_t const crashed = group.other_than(leader, leader);
+    std::size_t const live = group.other_than(leader, crashed);
+    group.crash(crashed);
     group.run_for(2s);
     group.process(leader, membership_change_requested{change_token,
                                                       membership_action::remove,
@@ -67,9 +67,9 @@
 
 Test(membership, leader_that_took_itself_out_alone_leads_until_it_is_settled)
 {
-    // Schedule seeds found this: one of two voters leads and takes itself
-    // out, and the entry reaches nobody. The other one needs its vote and
-    // has the shorter log; it must stand once more itself.
+    // Found by schedule seeds: the leader of two voters removes itself, and the
+    // entry reaches no other host. The other voter needs its vote but has the
+    // shorter log, so the removed host must lead once more.
     group_fixture group(2);
     std::size_t const leader = *group.leader();
     group.isolate(leader);
@@ -86,8 +86,8 @@
 
 Test(membership, leader_when_stopped_by_plan_hands_over_without_a_timeout)
 {
-    // A host is to be stopped for maintenance while it leads. Its successor
-    // leads within a few messages; callers do not wait out a timeout.
+    // The leader is to be stopped for maintenance. Its successor must be
+    // elected within a few messages, without an election timeout.
     group_fixture group;
     std::size_t const old = *group.leader();
     group.process(old, handover_requested{});
--- a/tests/unit/agreement/safeguard_test.cpp
+++ b/tests/unit/agreement/safeguard_test.cpp
@@ -13,11 +13,11 @@
 namespace
 {
 
-/// How many steps a schedule takes.
+/// Number of steps in a schedule.
 constexpr std::size_t steps = 1000;
 
-/// The breach that a schedule shows with one safeguard switched off. With
-/// all of them on the same schedule must show none.
+/// Returns the violation that a schedule shows with one safeguard switched off.
+/// With all safeguards on, the same schedule must show none.
 std::string violation_without(bool safeguards::* safeguard, std::uint64_t seed)
 {
     std::optional<std::string> const with =
@@ -29,22 +29,25 @@
     return schedule(seed, without).run(steps).value_or("");
 }
 
-/// Searches seeds from `first` on until a schedule shows a breach.
+/// Searches `count` seeds from `first` on for a schedule that shows the
+/// expected violation.
 void expect_violation_without(bool safeguards::* safeguard, std::uint64_t first,
-                              std::uint64_t count, std::string const& words)
+                              std::uint64_t count,
+                              std::string const& expected_text)
 {
     for (std::uint64_t seed = first; seed < first + count; ++seed)
     {
-        if (violation_without(safeguard, seed).find(words) != std::string::npos)
+        if (violation_without(safeguard, seed).find(expected_text) !=
+            std::string::npos)
         {
             return;
         }
     }
-    cr_assert(false, "No schedule shows '%s'.", words.c_str());
+    cr_assert(false, "No schedule shows '%s'.", expected_text.c_str());
 }
 
-/// The leader hears one follower only, and the other one wants to be
-/// elected. Gives the breach, if there is one.
+/// The leader has contact with one follower only, and the other follower starts
+/// an election. Returns the violation, or an empty string.
 std::string read_during_election(safeguards const& enabled)
 {
     group_fixture group(3, 0, replica_settings(), enabled);
@@ -66,8 +69,9 @@
     return group.checker.violation.value_or("");
 }
 
-/// The answers to the leader's last heartbeat come in one by one, each
-/// just in time to keep it from stepping down. Gives the breach, if any.
+/// The replies to the leader's last heartbeat arrive one by one, each just in
+/// time to keep it from stepping down. Returns the violation, or an empty
+/// string.
 std::string read_after_late_answers(safeguards const& enabled)
 {
     group_fixture group(3, 0, replica_settings(), enabled);
@@ -101,20 +105,20 @@
     return group.checker.violation.value_or("");
 }
 
-/// A change is accepted by the leader and one follower while the third host
-/// is cut off; then that follower's disk is lost and the leader is gone for
-/// a while. Gives the breach, if there is one.
+/// A proposal is accepted by the leader and one follower while the third host
+/// is isolated. Then that follower loses its disk and the leader is down for a
+/// while. Returns the violation, or an empty string.
 std::string lose_disk_of_the_second_copy(safeguards const& enabled)
 {
     group_fixture group(3, 0, replica_settings(), enabled);
     std::size_t const leader = *group.leader();
-    std::size_t const blank = group.other_than(leader, leader);
-    group.isolate(group.other_than(leader, blank));
+    std::size_t const wiped = group.other_than(leader, leader);
+    group.isolate(group.other_than(leader, wiped));
     cr_assert(group.propose_and_deliver(leader) == outcome::accepted);
     group.crash(leader);
-    group.crash(blank);
-    group.lose_disk(blank);
-    group.start(blank);
+    group.crash(wiped);
+    group.lose_disk(wiped);
+    group.start(wiped);
     group.heal();
     group.run_for(10s);
     bool const elected_without_leader = group.leader().has_value();
@@ -133,44 +137,46 @@
 
 Test(safeguard, pre_vote_when_off_lets_a_lonely_host_raise_its_term)
 {
-    expect_violation_without(&safeguards::pre_vote, 0, 20, "hears nobody");
+    expect_violation_without(&safeguards::pre_vote, 0, 20,
+                             "without receiving any message");
 }
 
 Test(safeguard, durable_vote_when_off_gives_a_term_two_leaders)
 {
     expect_violation_without(&safeguards::durable_vote_before_answer, 2681, 1,
-                             "is led by");
+                             "has leaders");
 }
 
 Test(safeguard, durable_entries_when_off_loses_an_accepted_change)
 {
     expect_violation_without(&safeguards::durable_entries_before_answer, 31, 1,
-                             "applies another entry");
+                             "applies a different entry");
 }
 
 Test(safeguard, commit_of_own_term_when_off_overwrites_an_applied_entry)
 {
     expect_violation_without(&safeguards::commit_own_term_only, 829, 1,
-                             "applies another entry");
+                             "applies a different entry");
 }
 
 Test(safeguard, quorum_check_when_off_leaves_an_isolated_leader_in_office)
 {
     expect_violation_without(&safeguards::quorum_check, 0, 100,
-                             "leads and hears");
+                             "leads but received");
 }
 
 Test(safeguard, one_change_at_a_time_when_off_overwrites_an_applied_entry)
 {
     expect_violation_without(&safeguards::one_change_at_a_time, 271, 1,
-                             "applies another entry");
+                             "applies a different entry");
 }
 
 Test(safeguard, incarnation_check_when_off_loses_an_accepted_change)
 {
-    // An operator heard "accepted"; both copies but the leader's are gone
-    // or never were. If the blank host's vote counted, the host that never
-    // heard of the change would lead and put another one in its place.
+    // A proposal was reported as accepted, but the leader's copy is the only
+    // one left. If the vote of the host with the empty disk counted, the host
+    // that never received the entry would lead and write another one at its
+    // index.
     safeguards without;
     without.incarnation_check = false;
     cr_assert_neq(lose_disk_of_the_second_copy(without), "");
@@ -179,22 +185,21 @@
 
 Test(safeguard, vote_within_the_lease_when_allowed_makes_a_read_stale)
 {
-    // A caller reads at the old leader just after another one heard
-    // "accepted" from its successor, which a follower of the old leader
-    // helped into office while its own answers still kept the lease.
+    // A read is sent to the old leader just after its successor reported a
+    // proposal as accepted. A follower of the old leader voted for the
+    // successor while its own replies still extended the old lease.
     safeguards without;
     without.vote_waits_for_lease = false;
     cr_assert_neq(read_during_election(without), "");
     cr_assert_eq(read_during_election(safeguards()), "");
     expect_violation_without(&safeguards::vote_waits_for_lease, 5064, 1,
-                             "was told before");
+                             "was reported before");
 }
 
 Test(safeguard, lease_counted_from_arrival_makes_a_read_stale)
 {
-    // The network holds two answers back and cuts the leader off. Each late
-    // answer would stretch the lease, though its sender has long helped a
-    // successor into office.
+    // Two replies are delayed and the leader is isolated. Each late reply would
+    // extend the lease, although its sender has since voted for a successor.
     safeguards without;
     without.lease_from_send = false;
     cr_assert_neq(read_after_late_answers(without), "");
--- a/tests/unit/agreement/schedule.cpp
+++ b/tests/unit/agreement/schedule.cpp
@@ -10,9 +10,9 @@
 namespace
 {
 
-/// What a schedule does how often: each kind is looking for other faults.
+/// Frequencies of the actions; each profile targets different faults.
 constexpr std::array profiles = {
-    // A bit of everything.
+    // All actions.
     schedule_profile{.deliver = 56,
                      .carry_out = 8,
                      .advance_time = 15,
@@ -27,8 +27,8 @@
                      .reads = 40,
                      .max_time_step_ms = 150,
                      .max_append_entries = 3},
-    // Crashes and cuts while leaders change, an entry a message: votes that
-    // are forgotten, entries of old terms.
+    // Crashes and partitions during leader changes, with one entry per message:
+    // targets lost votes and entries of old terms.
     schedule_profile{.deliver = 50,
                      .carry_out = 8,
                      .advance_time = 22,
@@ -43,7 +43,8 @@
                      .reads = 10,
                      .max_time_step_ms = 400,
                      .max_append_entries = 1},
-    // Late answers, one-way cuts, freezes and many reads: leases.
+    // Late replies, one-way partitions, suspended processes and many reads:
+    // targets leases.
     schedule_profile{.deliver = 46,
                      .carry_out = 3,
                      .advance_time = 17,
@@ -58,7 +59,7 @@
                      .reads = 60,
                      .max_time_step_ms = 120,
                      .max_append_entries = 3},
-    // Changes of membership on top of one another.
+    // Overlapping membership changes.
     schedule_profile{.deliver = 52,
                      .carry_out = 8,
                      .advance_time = 17,
@@ -80,7 +81,7 @@
     return profiles.at(seed % profiles.size());
 }
 
-/// Small bounds, so that a run of a few hundred steps meets all of them.
+/// Small limits, so that a run of a few hundred steps reaches all of them.
 replica_settings small_limits(std::uint64_t seed)
 {
     replica_settings settings;
@@ -111,7 +112,7 @@
       group(initial_members_of(seed), spare_hosts_of(seed), seed,
             small_limits(seed), enabled)
 {
-    // Clocks that differ by up to four in a hundred either way.
+    // Clock rates differ by up to 4 % in either direction.
     constexpr std::int64_t min_clock_rate = 960;
     constexpr std::size_t spread = 81;
     for (test_host& host : this->group.hosts)
@@ -175,8 +176,8 @@
     this->group.run_for(std::chrono::milliseconds(this->draw(1500)));
 }
 
-/// Carries out what is due at a host; now and then it crashes on the way,
-/// between any two effects.
+/// Executes the pending effects of a host; sometimes the host crashes in
+/// between, after any number of effects.
 void schedule::carry_out_or_crash(std::size_t host_index)
 {
     test_host const& host = this->group.hosts.at(host_index);
@@ -211,11 +212,11 @@
         return;
     }
     std::size_t const oldest = 0;
-    std::size_t const host_index =
+    std::size_t const message_index =
         this->chance(this->profile.oldest_first)
             ? oldest
             : this->draw(this->group.in_flight.size());
-    std::size_t const to = this->group.in_flight.at(host_index).to;
+    std::size_t const to = this->group.in_flight.at(message_index).to;
     constexpr std::size_t hold_back_percent = 85;
     if (this->slow_receiver == to && this->chance(hold_back_percent))
     {
@@ -224,7 +225,7 @@
     if (this->chance(4))
     {
         this->group.in_flight.erase(this->group.in_flight.begin() +
-                                    static_cast<std::ptrdiff_t>(host_index));
+                                    static_cast<std::ptrdiff_t>(message_index));
         return;
     }
     constexpr std::size_t max_count = 4;
@@ -234,7 +235,7 @@
     }
     else
     {
-        this->group.deliver(host_index, this->chance(8));
+        this->group.deliver(message_index, this->chance(8));
     }
     if (this->group.hosts.at(to).is_running() && this->chance(80))
     {
@@ -365,9 +366,9 @@
                            host.id, incarnation});
 }
 
-/// A host may lose its disk only while the others are up and agree on a
-/// membership of three voters or more, all with the disks they are listed
-/// with: the group tolerates one loss, and no change on top of it.
+/// A host may lose its disk only while all other members are up, agree on a
+/// membership of at least three voters and have the disks they are listed with:
+/// the group tolerates one loss, and no change on top of it.
 bool schedule::may_lose_disk(std::size_t host_index) const
 {
     constexpr std::size_t min_voters = 3;
@@ -391,7 +392,8 @@
     return members.voters() >= min_voters;
 }
 
-/// True while some host has a disk that the leader does not list yet.
+/// True while some host has a disk that the leader's membership does not list
+/// yet.
 bool schedule::has_unsettled_disk() const
 {
     std::optional<std::size_t> const leader = this->group.leader();
@@ -498,7 +500,8 @@
     return this->draw(this->group.hosts.size());
 }
 
-/// Faults hurt most where the leader is.
+/// Selects the leader in half of the cases, since faults there have the
+/// greatest effect.
 std::size_t schedule::leader_or_other()
 {
     std::size_t const other = this->any_host();
--- a/tests/unit/agreement/schedule.hpp
+++ b/tests/unit/agreement/schedule.hpp
@@ -15,21 +15,21 @@
 namespace bilberrylead::agreement::tests
 {
 
-/// One random run of a few hosts: deliveries out of order, losses,
-/// duplicates, slow disks, crashes between write and sync, lost disks,
-/// cuts, freezes, clocks that run apart, changes of membership. The seed
-/// gives the whole run.
+/// One random run of a small group: reordered, lost and duplicated messages,
+/// slow disks, crashes between write and sync, lost disks, partitions,
+/// suspended processes, differing clock rates and membership changes. The run
+/// is determined by its seed.
 class schedule
 {
 public:
-    /// Draws the group from the seed.
+    /// Derives the group from the seed.
     schedule(std::uint64_t seed, safeguards const& enabled);
 
-    /// Takes so many random steps, then ends all faults and expects the
-    /// group to accept again. Gives the first breach.
+    /// Performs `steps` random steps, then ends all faults and expects the
+    /// group to accept proposals again. Returns the first violation.
     std::optional<std::string> run(std::size_t steps);
 
-    /// How the group stands, for comparison.
+    /// Describes the state of the group, for comparison.
     std::string describe() const;
 
 private:
--- a/tests/unit/agreement/schedule_test.cpp
+++ b/tests/unit/agreement/schedule_test.cpp
@@ -11,13 +11,13 @@
 namespace
 {
 
-/// How many steps a schedule takes.
+/// Number of steps in a schedule.
 constexpr std::size_t steps = 1000;
 
-/// How many schedules one test runs; the tests run side by side.
+/// Number of seeds that one test runs; the tests run in parallel.
 constexpr std::uint64_t seeds_per_test = 1300;
 
-/// Runs the share of schedules with this number.
+/// Runs the seeds of the test with this number.
 void expect_no_violation(std::uint64_t number)
 {
     for (std::uint64_t seed = number * seeds_per_test;
--- a/tests/unit/agreement/snapshot_test.cpp
+++ b/tests/unit/agreement/snapshot_test.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/// A group of one, which commits at once.
+/// A group with one member, which commits at once.
 struct sole_replica
 {
     explicit sole_replica(replica_settings const& settings)
@@ -29,7 +29,8 @@
         cr_assert(this->one.role() == role::leader);
     }
 
-    /// Proposes; gives the index a snapshot is asked for at, if it is.
+    /// Proposes a command and returns the index of the requested snapshot, if
+    /// there is one.
     std::optional<std::uint64_t> propose_one()
     {
         std::optional<std::uint64_t> requested;
@@ -53,9 +54,9 @@
 
 Test(snapshot, state_too_large_to_keep_is_not_encoded_with_every_entry)
 {
-    // The state machine outgrew the bound. Its snapshots are not kept; if
-    // each entry asked for the next one, encoding them would take the
-    // leader's whole time and callers would see an outage.
+    // The state exceeds the size limit, so its snapshots are not stored. If
+    // each entry requested another one, encoding them would take all of the
+    // leader's time and callers would see an outage.
     replica_settings settings;
     settings.snapshot_threshold = 10;
     settings.max_snapshot_bytes = 4;
--- a/tests/unit/agreement/test_group.cpp
+++ b/tests/unit/agreement/test_group.cpp
@@ -13,7 +13,8 @@
 namespace
 {
 
-/// Every so many messages one goes through the codec on its way.
+/// A message is encoded and decoded on delivery whenever the number of messages
+/// in flight is a multiple of this.
 constexpr std::uint64_t codec_stride = 8;
 
 } // namespace
@@ -142,13 +143,13 @@
     if (host.replica->commit_index() < host.committed)
     {
         this->checker.fail(
-            fmt::format("{}'s commit index goes back", host.id.text()));
+            fmt::format("the commit index of {} decreased", host.id.text()));
     }
     host.committed = host.replica->commit_index();
 }
 
-/// A host that hears nobody must not raise the term again and again: it
-/// would unseat a healthy leader when it comes back.
+/// A host that receives no messages must not raise its term repeatedly: on its
+/// return it would depose a healthy leader.
 void test_group::check_campaigns(test_host& host, std::uint64_t term_before)
 {
     bool const campaigned =
@@ -158,13 +159,13 @@
     host.campaigns_without_contact += campaigned && !alone ? 1 : 0;
     if (host.campaigns_without_contact > 1)
     {
-        this->checker.fail(fmt::format("{} raises its term though it hears "
-                                       "nobody",
+        this->checker.fail(fmt::format("{} raises its term without receiving "
+                                       "any message",
                                        host.id.text()));
     }
 }
 
-/// A leader must know by its own clock that it lost its quorum.
+/// A leader must detect by its own clock that it lost its quorum.
 void test_group::check_quorum(test_host const& host, instant now)
 {
     instant const oldest = now - 2 * this->settings.election_timeout;
@@ -184,9 +185,9 @@
     }
     if (recent_voters < members.quorum())
     {
-        this->checker.fail(fmt::format("{} leads and hears {} of {} voters",
-                                       host.id.text(), recent_voters,
-                                       members.voters()));
+        this->checker.fail(
+            fmt::format("{} leads but received from {} of {} voters",
+                        host.id.text(), recent_voters, members.voters()));
     }
 }
 
@@ -341,7 +342,7 @@
             decode_message(encode_message(next.message));
         if (!copy.ok() || *copy != next.message)
         {
-            this->checker.fail("a message is not read as it was written");
+            this->checker.fail("a message differs after encoding and decoding");
         }
     }
     host_id const& sender = this->hosts.at(next.from).id;
--- a/tests/unit/agreement/test_group.hpp
+++ b/tests/unit/agreement/test_group.hpp
@@ -19,21 +19,21 @@
 namespace bilberrylead::agreement::tests
 {
 
-/// A message that is under way.
+/// A message in flight.
 struct envelope
 {
-    /// Sender.
+    /// Index of the sender.
     std::size_t from = 0;
-    /// Receiver.
+    /// Index of the receiver.
     std::size_t to = 0;
-    /// What it says.
+    /// The message.
     agreement::message message;
 };
 
-/// What became of a proposal.
+/// The outcome of a proposal.
 enum class outcome
 {
-    /// No answer yet.
+    /// Not answered yet.
     open,
     /// proposal_accepted.
     accepted,
@@ -43,82 +43,85 @@
     unknown,
 };
 
-/// A few replicas whose deliveries, crashes and clocks the test scripts.
-/// Everything that is told to anybody goes by the checker.
+/// A small group of replicas. The test controls message delivery, crashes and
+/// clocks; the checker observes everything that is reported to clients.
 class test_group
 {
 public:
-    /// Makes `founders` voters and `spares` hosts that start blank, and
-    /// starts all of them.
+    /// Creates `initial_members` voters and `spare_hosts` hosts with empty
+    /// disks, and starts all of them.
     test_group(std::size_t initial_members, std::size_t spare_hosts,
                std::uint64_t seed, replica_settings const& group_settings = {},
                safeguards const& enabled = {});
 
     /// Starts a host's process from its disk.
     void start(std::size_t host_index);
-    /// Kills a process; `kept` of its unsynced writes survive.
+    /// Crashes a process; the first `kept` of its unsynced writes survive.
     void crash(std::size_t host_index, std::size_t kept = 0);
-    /// Wipes a dead host's disk: it returns as a new incarnation.
+    /// Wipes the disk of a host that is down: it restarts as a new incarnation.
     void lose_disk(std::size_t host_index);
-    /// Messages from one host to another are lost from now on.
+    /// Drops messages from one host to another from now on.
     void block_link(std::size_t from, std::size_t to);
-    /// Cuts a host off in both directions.
+    /// Blocks all links of a host, in both directions.
     void isolate(std::size_t host_index);
-    /// Ends all cuts.
+    /// Restores all links.
     void heal();
 
-    /// Hands an event to a running host and carries all effects out.
+    /// Passes an event to a running host and executes all its effects.
     void process(std::size_t host_index, event const& event);
-    /// Hands an event to a running host; its effects become due.
+    /// Passes an event to a running host; its effects become pending.
     void reduce(std::size_t host_index, event const& event);
-    /// Hands several events over in one call.
+    /// Passes several events to a running host in one call.
     void reduce(std::size_t host_index, std::span<event const> events);
-    /// Carries out at most so many due effects.
+    /// Executes at most `count` pending effects.
     void carry_out(std::size_t host_index, std::size_t count);
-    /// Carries out every effect that is due.
+    /// Executes all pending effects.
     void carry_out_all(std::size_t host_index);
 
-    /// Takes the message at a place out of those under way and delivers it,
-    /// unless there is a cut; `keep` leaves a duplicate under way.
+    /// Removes the message at an index from those in flight and delivers it; it
+    /// is lost if the receiver is not running. `keep` leaves a duplicate in
+    /// flight.
     void deliver(std::size_t message_index, bool keep = false);
-    /// Delivers the oldest messages to a host, at most so many, in one call.
+    /// Delivers the oldest messages for a host, at most `max_messages`, in one
+    /// call.
     void deliver_batch(std::size_t to, std::size_t max_messages);
-    /// Delivers, oldest first, until nothing is under way.
+    /// Delivers messages, oldest first, until none is in flight.
     void deliver_all();
-    /// Lets time pass in steps of a tick at every running host; delivers
-    /// everything after each.
+    /// Advances time in steps of one tick; after each step every running host
+    /// gets a tick event and all messages are delivered.
     void run_for(duration length);
-    /// As run_for, until someone leads and everyone that runs follows it.
+    /// Runs until there is a leader that all running members follow; false if
+    /// that takes too long.
     bool run_until_leader_elected();
 
-    /// Proposes at a host; gives the token.
+    /// Proposes at a host and returns the token.
     std::uint64_t propose_at(std::size_t host_index);
-    /// Makes a proposal without handing it over.
+    /// Creates a proposal without passing it to a host.
     event new_proposal();
-    /// Makes a read without handing it over.
+    /// Creates a read request without passing it to a host.
     event new_read();
-    /// Asks a host for a read; gives the token.
+    /// Requests a read at a host and returns the token.
     std::uint64_t read_at(std::size_t host_index);
-    /// What became of a proposal.
+    /// The outcome of a proposal.
     outcome outcome_of(std::uint64_t token) const;
-    /// The index a read was answered at, if it was.
+    /// The index at which a read was answered; nullopt if it was not.
     std::optional<std::uint64_t> read_index(std::uint64_t token) const;
-    /// The leader of the latest term among those that run, if any.
+    /// Index of the running leader with the latest term, if there is one.
     std::optional<std::size_t> leader() const;
-    /// One line on each host, for the message of a failure.
+    /// One line for each host, for failure messages.
     std::string describe() const;
-    /// The host's own time.
+    /// Current time by the host's clock.
     instant now_at(std::size_t host_index) const;
 
-    /// Hosts by place.
+    /// Hosts by index.
     std::vector<test_host> hosts;
-    /// Messages under way.
+    /// Messages in flight, oldest first.
     std::deque<envelope> in_flight;
-    /// What must hold.
+    /// Checks the group's invariants.
     group_checker checker;
-    /// Time since the start.
+    /// Time since the test began.
     duration elapsed{};
-    /// The hosts' settings.
+    /// Settings of all replicas.
     replica_settings settings;
 
 private:
--- a/tests/unit/agreement/test_host.hpp
+++ b/tests/unit/agreement/test_host.hpp
@@ -14,44 +14,47 @@
 namespace bilberrylead::agreement::tests
 {
 
-/// One host of a test_group: a process that may be down or frozen, a disk,
-/// and a clock of its own.
+/// One host of a test_group: a process that may be down or suspended, a disk
+/// and a clock.
 struct test_host
 {
-    /// Its name.
+    /// Its id.
     host_id id;
-    /// Which life of its disk.
+    /// Incarnation of its disk.
     std::uint64_t incarnation = 1;
     /// The process; null while it is down.
     std::unique_ptr<agreement::replica> replica;
-    /// Its data folder.
+    /// Its simulated disk.
     fake_disk disk;
-    /// Effects that are not carried out yet.
+    /// Effects that are not executed yet.
     std::deque<effect> pending_effects;
-    /// A frozen process takes no event and carries nothing out.
+    /// True while the process is suspended: it processes no events and executes
+    /// no effects.
     bool frozen = false;
-    /// Founders start a blank disk with the group's first membership.
+    /// True for hosts that start an empty first disk with the group's initial
+    /// membership.
     bool initial_member = false;
-    /// How fast its clock runs, in thousandths of the real rate.
+    /// Rate of its clock, in thousandths of the real rate.
     std::int64_t clock_rate = 1000;
-    /// Last index its state machine includes.
+    /// Last index that its state machine includes.
     std::uint64_t applied = 0;
     /// Highest commit index of this process.
     std::uint64_t committed = 0;
-    /// Campaigns of its own since a message last reached it.
+    /// Number of campaigns since a message last reached it.
     std::size_t campaigns_without_contact = 0;
-    /// When, by its own clock, a message of a host last arrived.
+    /// Time by its own clock at which the last message of each host arrived.
     std::map<host_id, instant> last_received_at;
-    /// When, by its own clock, it began to lead; meaningful for a leader.
+    /// Time by its own clock at which it became leader; valid only for a
+    /// leader.
     instant leader_since;
 
-    /// True if it can take an event.
+    /// True if it can process an event.
     bool is_running() const
     {
         return this->replica != nullptr && !this->frozen;
     }
 
-    /// True if it believes to lead.
+    /// True if it considers itself leader.
     bool is_leader() const
     {
         return this->replica != nullptr &&
