--- a/tests/unit/agreement/codec_test.cpp
+++ b/tests/unit/agreement/codec_test.cpp
@@ -78,7 +78,7 @@
     }
 }
 
-Test(codec, every_message_when_cut_short_is_refused)
+Test(codec, every_message_when_truncated_is_refused)
 {
     for (message const& one : every_message())
     {
@@ -91,7 +91,7 @@
     }
 }
 
-Test(codec, every_message_when_damaged_is_read_without_harm)
+Test(codec, every_message_when_corrupted_decodes_or_gives_a_typed_error)
 {
     std::mt19937_64 random(7);
     for (message const& one : every_message())
--- a/tests/unit/agreement/failure_test.cpp
+++ b/tests/unit/agreement/failure_test.cpp
@@ -7,14 +7,14 @@
 using namespace std::chrono_literals;
 using bilberrylead::host_id;
 
-Test(replica, three_founders_when_started_elect_one_and_accept)
+Test(replica, three_members_when_started_elect_a_leader_and_accept_a_proposal)
 {
     group_fixture group;
     cr_assert(group.propose_and_deliver(*group.leader()) == outcome::accepted);
     group.expect_no_violation();
 }
 
-Test(replica, leader_when_isolated_for_long_steps_down_and_comes_back_in_line)
+Test(replica, leader_when_isolated_for_long_steps_down_and_later_catches_up)
 {
     // A leader is isolated with an uncommitted proposal in its log; the others
     // elect a successor and continue. The old leader must step down by its own
@@ -42,7 +42,7 @@
     group.expect_no_violation();
 }
 
-Test(replica, leader_when_thawed_answers_no_read_from_the_past)
+Test(replica, leader_when_resumed_answers_no_read_under_an_expired_lease)
 {
     // A leader's process is suspended and a successor accepts a proposal. When
     // the old leader resumes, its first event is a read, before any tick or
@@ -60,7 +60,7 @@
     group.expect_no_violation();
 }
 
-Test(replica, old_and_new_leader_when_racing_accept_one_change)
+Test(replica, old_and_new_leader_when_both_get_a_proposal_accept_only_one)
 {
     // One proposal goes to a leader that was just isolated, another to its
     // successor. Only the one that a quorum stores is accepted; the outcome of
@@ -81,7 +81,7 @@
     group.expect_no_violation();
 }
 
-Test(replica, host_when_restarted_after_500_changes_catches_up_by_snapshot)
+Test(replica, host_when_restarted_after_500_entries_catches_up_by_snapshot)
 {
     // A host is down while 500 entries are committed and the log prefix is
     // replaced by snapshots. After its restart with an old log it must reach
@@ -107,11 +107,11 @@
     group.expect_no_violation();
 }
 
-Test(replica, group_when_second_host_is_lost_after_a_repair_goes_on)
+Test(replica, group_when_second_host_is_lost_after_readmission_elects_a_leader)
 {
     // A host loses its disk and is readmitted. As soon as it is a voter again,
-    // a second host is lost for good. The group must elect a leader again, and
-    // no accepted proposal may be lost.
+    // a second host is lost permanently. The group must elect a leader again,
+    // and no accepted proposal may be lost.
     group_fixture group;
     std::size_t const leader = *group.leader();
     std::size_t const wiped = group.other_than(leader, leader);
@@ -137,7 +137,7 @@
     group.expect_no_violation();
 }
 
-Test(replica, sole_voter_when_it_crashes_before_the_sync_told_no_commit)
+Test(replica, sole_voter_when_crashed_before_sync_has_reported_no_commit)
 {
     // Found by schedule seed 823, with one voter and a learner: the voter
     // commits in the call that writes the entry, sends before the sync and
@@ -180,7 +180,7 @@
 // All hosts lose power at once and callers wait for the first one to restart.
 // It must apply the committed entries before there is a leader: until then,
 // entry hosts that lost power as well refuse every request.
-Test(replica, host_when_all_lost_power_applies_what_was_committed_alone)
+Test(replica, host_when_alone_after_power_loss_applies_committed_entries)
 {
     group_fixture group(3, 0);
     std::size_t const leader = *group.leader();
--- a/tests/unit/agreement/membership_test.cpp
+++ b/tests/unit/agreement/membership_test.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-Test(membership, newcomer_when_added_catches_up_and_becomes_a_voter)
+Test(membership, new_host_when_added_catches_up_and_becomes_a_voter)
 {
     group_fixture group(3, 1);
     std::size_t const leader = *group.leader();
@@ -65,7 +65,7 @@
     cr_assert(group.propose_and_deliver(leader) == outcome::accepted);
 }
 
-Test(membership, leader_that_took_itself_out_alone_leads_until_it_is_settled)
+Test(membership, leader_when_its_removal_is_unreplicated_leads_until_it_commits)
 {
     // Found by schedule seeds: the leader of two voters removes itself, and the
     // entry reaches no other host. The other voter needs its vote but has the
@@ -84,7 +84,7 @@
     group.expect_no_violation();
 }
 
-Test(membership, leader_when_stopped_by_plan_hands_over_without_a_timeout)
+Test(membership, leader_when_handover_is_requested_hands_over_without_a_timeout)
 {
     // The leader is to be stopped for maintenance. Its successor must be
     // elected within a few messages, without an election timeout.
--- a/tests/unit/agreement/safeguard_test.cpp
+++ b/tests/unit/agreement/safeguard_test.cpp
@@ -135,31 +135,31 @@
 
 } // namespace
 
-Test(safeguard, pre_vote_when_off_lets_a_lonely_host_raise_its_term)
+Test(safeguard, pre_vote_when_off_lets_an_isolated_host_raise_its_term)
 {
     expect_violation_without(&safeguards::pre_vote, 0, 20,
                              "without receiving any message");
 }
 
-Test(safeguard, durable_vote_when_off_gives_a_term_two_leaders)
+Test(safeguard, durable_vote_when_off_allows_two_leaders_in_one_term)
 {
     expect_violation_without(&safeguards::durable_vote_before_answer, 2681, 1,
                              "has leaders");
 }
 
-Test(safeguard, durable_entries_when_off_loses_an_accepted_change)
+Test(safeguard, durable_entries_when_off_loses_an_accepted_proposal)
 {
     expect_violation_without(&safeguards::durable_entries_before_answer, 31, 1,
                              "applies a different entry");
 }
 
-Test(safeguard, commit_of_own_term_when_off_overwrites_an_applied_entry)
+Test(safeguard, commit_own_term_only_when_off_overwrites_an_applied_entry)
 {
     expect_violation_without(&safeguards::commit_own_term_only, 829, 1,
                              "applies a different entry");
 }
 
-Test(safeguard, quorum_check_when_off_leaves_an_isolated_leader_in_office)
+Test(safeguard, quorum_check_when_off_lets_an_isolated_leader_keep_leading)
 {
     expect_violation_without(&safeguards::quorum_check, 0, 100,
                              "leads but received");
@@ -171,7 +171,7 @@
                              "applies a different entry");
 }
 
-Test(safeguard, incarnation_check_when_off_loses_an_accepted_change)
+Test(safeguard, incarnation_check_when_off_loses_an_accepted_proposal)
 {
     // A proposal was reported as accepted, but the leader's copy is the only
     // one left. If the vote of the host with the empty disk counted, the host
--- a/tests/unit/agreement/schedule_test.cpp
+++ b/tests/unit/agreement/schedule_test.cpp
@@ -32,47 +32,47 @@
 
 } // namespace
 
-Test(schedules, share_0_when_run_shows_no_breach)
+Test(schedules, seed_range_0_when_run_shows_no_violation)
 {
     expect_no_violation(0);
 }
 
-Test(schedules, share_1_when_run_shows_no_breach)
+Test(schedules, seed_range_1_when_run_shows_no_violation)
 {
     expect_no_violation(1);
 }
 
-Test(schedules, share_2_when_run_shows_no_breach)
+Test(schedules, seed_range_2_when_run_shows_no_violation)
 {
     expect_no_violation(2);
 }
 
-Test(schedules, share_3_when_run_shows_no_breach)
+Test(schedules, seed_range_3_when_run_shows_no_violation)
 {
     expect_no_violation(3);
 }
 
-Test(schedules, share_4_when_run_shows_no_breach)
+Test(schedules, seed_range_4_when_run_shows_no_violation)
 {
     expect_no_violation(4);
 }
 
-Test(schedules, share_5_when_run_shows_no_breach)
+Test(schedules, seed_range_5_when_run_shows_no_violation)
 {
     expect_no_violation(5);
 }
 
-Test(schedules, share_6_when_run_shows_no_breach)
+Test(schedules, seed_range_6_when_run_shows_no_violation)
 {
     expect_no_violation(6);
 }
 
-Test(schedules, share_7_when_run_shows_no_breach)
+Test(schedules, seed_range_7_when_run_shows_no_violation)
 {
     expect_no_violation(7);
 }
 
-Test(schedules, seed_when_run_twice_does_the_same)
+Test(schedules, seed_when_run_twice_gives_the_same_group_state)
 {
     for (std::uint64_t seed = 0; seed < 40; ++seed)
     {
--- a/tests/unit/agreement/snapshot_test.cpp
+++ b/tests/unit/agreement/snapshot_test.cpp
@@ -52,7 +52,7 @@
 
 } // namespace
 
-Test(snapshot, state_too_large_to_keep_is_not_encoded_with_every_entry)
+Test(snapshot, state_when_too_large_to_store_is_not_encoded_for_every_entry)
 {
     // The state exceeds the size limit, so its snapshots are not stored. If
     // each entry requested another one, encoding them would take all of the
