--- a/bilberrylead/agreement/append_receiver.cpp
+++ b/bilberrylead/agreement/append_receiver.cpp
@@ -28,13 +28,14 @@
     }
     this->store(request);
 
-    // Only what this very message showed to agree may count: the log may
-    // hold more, from a leader that lost its office.
+    // Only the prefix that this request verified may be committed: the log may
+    // hold further entries from a leader that has since been deposed.
     std::uint64_t const agreed =
         request.previous_index + request.entries.size();
     this->applier.commit_through(std::min(request.commit_index, agreed));
-    this->core.answer(from, append_reply{request.round, true, agreed, 0, 0},
-                      this->core.switches.durable_entries_before_answer);
+    this->core.send_after_sync(
+        from, append_reply{request.round, true, agreed, 0, 0},
+        this->core.enabled_safeguards.durable_entries_before_answer);
 }
 
 bool append_receiver::is_well_formed(append_request const& request) const
@@ -59,7 +60,7 @@
 
 bool append_receiver::fits(append_request const& request) const
 {
-    // Committed entries agree with every leader's log.
+    // Committed entries are the same in every leader's log.
     if (request.previous_index <= this->core.commit_index)
     {
         return true;
@@ -68,8 +69,8 @@
            request.previous_term;
 }
 
-/// Names the start of the run that does not agree, so that the leader goes
-/// back a term at a time and not an entry at a time.
+/// Sets retry_index to the start of the conflicting run of entries with one
+/// term, so that the leader backs up one term at a time instead of one entry.
 void append_receiver::reject(host_id const& from, append_request const& request)
 {
     replica_log const& log = this->core.log;
@@ -79,8 +80,9 @@
         retry = std::max(log.first_of_term(request.previous_index),
                          this->core.commit_index + 1);
     }
-    this->core.answer(from, append_reply{request.round, false, 0,
-                                         request.previous_index, retry});
+    this->core.send_after_sync(
+        from,
+        append_reply{request.round, false, 0, request.previous_index, retry});
 }
 
 void append_receiver::store(append_request const& request)
@@ -108,7 +110,7 @@
     }
     if (!written.entries.empty())
     {
-        this->core.out.write(std::move(written));
+        this->core.effects.write(std::move(written));
     }
 }
 
--- a/tests/unit/agreement/codec_test.cpp
+++ b/tests/unit/agreement/codec_test.cpp
@@ -27,7 +27,7 @@
     return members;
 }
 
-/// One message of each kind, no field at its default.
+/// One message of each kind, with every field set.
 std::vector<message> every_message()
 {
     log_entry const command{3, 9, entry_kind::command, {1, 2, 3}};
@@ -78,27 +78,28 @@
     }
 }
 
-Test(codec, every_message_when_cut_short_is_refused)
+Test(codec, every_message_when_truncated_is_refused)
 {
     for (message const& one : every_message())
     {
-        bytes const whole = encode_message(one);
-        for (std::size_t length = 0; length < whole.size(); ++length)
+        bytes const encoded = encode_message(one);
+        for (std::size_t length = 0; length < encoded.size(); ++length)
         {
-            cr_assert_not(decode_message(std::span(whole).first(length)).ok());
+            cr_assert_not(
+                decode_message(std::span(encoded).first(length)).ok());
         }
     }
 }
 
-Test(codec, every_message_when_damaged_is_read_without_harm)
+Test(codec, every_message_when_corrupted_decodes_or_gives_a_typed_error)
 {
     std::mt19937_64 random(7);
     for (message const& one : every_message())
     {
-        bytes const whole = encode_message(one);
+        bytes const encoded = encode_message(one);
         for (int round = 0; round < 2000; ++round)
         {
-            bytes damaged = whole;
+            bytes damaged = encoded;
             damaged.at(random() % damaged.size()) =
                 static_cast<std::uint8_t>(random());
             absl::StatusOr<message> const read = decode_message(damaged);
@@ -115,12 +116,12 @@
         {"trailing byte", {0xa0, 0x00}, error_kind::syntax},
         {"a number", {0x05}, error_kind::bad_value},
         {"empty map", {0xa0}, error_kind::missing_field},
-        // A million arrays, maps, and tags: too deep for any stack.
+        // A million nested arrays, maps or tags would overflow any stack.
         {"deep arrays", nested(0x81, 1000000), error_kind::syntax},
         {"deep endless arrays", nested(0x9f, 1000000), error_kind::syntax},
         {"deep maps", nested(0xa1, 1000000), error_kind::syntax},
         {"tags", nested(0xc1, 1000000), error_kind::syntax},
-        // Lengths that no memory has.
+        // Declared lengths larger than any memory.
         {"long array",
          {0x9b, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff},
          error_kind::syntax},
@@ -149,10 +150,11 @@
 Test(codec, records_of_the_data_folder_when_written_and_read_are_the_same)
 {
     hard_state const state{7, host_id("a"), 5};
-    snapshot const whole{12, 3, two_members(), {1, 2, 3, 4}};
+    snapshot const state_snapshot{12, 3, two_members(), {1, 2, 3, 4}};
     log_entry const entry{3, 9, entry_kind::command, {}};
     cr_assert(*decode_hard_state(encode_hard_state(state)) == state);
-    cr_assert(*decode_snapshot(encode_snapshot(whole)) == whole);
+    cr_assert(*decode_snapshot(encode_snapshot(state_snapshot)) ==
+              state_snapshot);
     cr_assert(*decode_entry(encode_entry(entry)) == entry);
 }
 
--- a/tests/unit/agreement/failure_test.cpp
+++ b/tests/unit/agreement/failure_test.cpp
@@ -7,64 +7,64 @@
 using namespace std::chrono_literals;
 using bilberrylead::host_id;
 
-Test(replica, three_founders_when_started_elect_one_and_accept)
+Test(replica, three_members_when_started_elect_a_leader_and_accept_a_proposal)
 {
     group_fixture group;
-    cr_assert(group.settle(*group.leader()) == outcome::accepted);
-    group.expect_no_breach();
+    cr_assert(group.propose_and_deliver(*group.leader()) == outcome::accepted);
+    group.expect_no_violation();
 }
 
-Test(replica, leader_when_isolated_for_long_steps_down_and_comes_back_in_line)
+Test(replica, leader_when_isolated_for_long_steps_down_and_later_catches_up)
 {
-    // An operator on the far side of a cut keeps asking the old leader. The
-    // cut comes without a sign, a change is on its way, the others elect and
-    // go on. The old leader must notice by its own clock and say "unknown",
-    // since the change may still be found in somebody's log.
+    // A leader is isolated with an uncommitted proposal in its log; the others
+    // elect a successor and continue. The old leader must step down by its own
+    // clock and report the proposal's outcome as unknown, since another log may
+    // still contain the entry.
     group_fixture group;
     std::size_t const old = *group.leader();
     group.isolate(old);
-    std::uint64_t const caught = group.propose_at(old);
+    std::uint64_t const pending_change = group.propose_at(old);
     group.carry_out_all(old);
     group.run_for(10s);
-    cr_assert(group.outcome_of(caught) == outcome::unknown);
+    cr_assert(group.outcome_of(pending_change) == outcome::unknown);
     std::size_t const next = *group.leader();
     cr_assert_neq(next, old);
-    cr_assert(group.settle(next) == outcome::accepted);
-    cr_assert(group.settle(old) == outcome::refused);
+    cr_assert(group.propose_and_deliver(next) == outcome::accepted);
+    cr_assert(group.propose_and_deliver(old) == outcome::refused);
     cr_assert_not(group.read_index(group.read_at(old)).has_value());
 
     std::uint64_t const term = group.hosts[next].replica->term();
     group.heal();
     group.run_for(2s);
-    cr_assert_eq(*group.leader(), next, "The healthy leader was unseated.");
+    cr_assert_eq(*group.leader(), next, "The healthy leader was deposed.");
     cr_assert_eq(group.hosts[next].replica->term(), term);
     cr_assert_eq(group.hosts[old].applied, group.checker.committed());
-    group.expect_no_breach();
+    group.expect_no_violation();
 }
 
-Test(replica, leader_when_thawed_answers_no_read_from_the_past)
+Test(replica, leader_when_resumed_answers_no_read_under_an_expired_lease)
 {
-    // A leader is frozen, a successor accepts a change, the old one thaws
-    // and finds a read waiting before any tick or message. Its first event
-    // must not be answered from the lease it held.
+    // A leader's process is suspended and a successor accepts a proposal. When
+    // the old leader resumes, its first event is a read, before any tick or
+    // message; the read must not be answered under the expired lease.
     group_fixture group;
     std::size_t const old = *group.leader();
     group.hosts[old].frozen = true;
     group.run_for(4s);
-    cr_assert(group.settle(*group.leader()) == outcome::accepted);
+    cr_assert(group.propose_and_deliver(*group.leader()) == outcome::accepted);
     group.hosts[old].frozen = false;
     std::uint64_t const token = group.read_at(old);
     group.carry_out_all(old);
     group.run_for(1s);
     cr_assert_not(group.read_index(token).has_value());
-    group.expect_no_breach();
+    group.expect_no_violation();
 }
 
-Test(replica, old_and_new_leader_when_racing_accept_one_change)
+Test(replica, old_and_new_leader_when_both_get_a_proposal_accept_only_one)
 {
-    // Two operators send a change at the same moment, one to a leader that
-    // was just cut off, one to its successor. Only the one that a quorum
-    // holds is accepted; the other operator hears that it is unknown.
+    // One proposal goes to a leader that was just isolated, another to its
+    // successor. Only the one that a quorum stores is accepted; the outcome of
+    // the other one is unknown.
     group_fixture group;
     std::size_t const old = *group.leader();
     group.isolate(old);
@@ -74,52 +74,52 @@
     {
         group.run_for(group.settings.tick_interval);
     }
-    cr_assert(group.settle(*group.leader()) == outcome::accepted);
+    cr_assert(group.propose_and_deliver(*group.leader()) == outcome::accepted);
     group.heal();
     group.run_for(3s);
     cr_assert(group.outcome_of(lost) == outcome::unknown);
-    group.expect_no_breach();
+    group.expect_no_violation();
 }
 
-Test(replica, host_when_restarted_after_500_changes_catches_up_by_snapshot)
+Test(replica, host_when_restarted_after_500_entries_catches_up_by_snapshot)
 {
-    // A host is down while 500 changes pass and the log is cut behind
-    // snapshots. It comes back with an old log and must end with the same
-    // state, without undoing anything on the way.
-    replica_settings pace;
-    pace.snapshot_threshold = 100;
-    pace.kept_entries = 20;
-    pace.max_append_entries = 16;
-    group_fixture group(3, 0, pace);
+    // A host is down while 500 entries are committed and the log prefix is
+    // replaced by snapshots. After its restart with an old log it must reach
+    // the same state by snapshot and never go back to an older state.
+    replica_settings settings;
+    settings.snapshot_threshold = 100;
+    settings.kept_entries = 20;
+    settings.max_append_entries = 16;
+    group_fixture group(3, 0, settings);
     std::size_t const leader = *group.leader();
     std::size_t const late = group.other_than(leader, leader);
-    group.settle(leader);
+    group.propose_and_deliver(leader);
     group.crash(late);
     for (int change = 0; change < 500; ++change)
     {
-        cr_assert(group.settle(leader) == outcome::accepted);
+        cr_assert(group.propose_and_deliver(leader) == outcome::accepted);
     }
     group.start(late);
     group.run_for(2s);
     cr_assert_geq(group.hosts[late].applied, 500U);
     cr_assert_eq(group.hosts[late].applied, group.checker.committed());
     cr_assert(group.hosts[late].disk.read().snapshot.has_value());
-    group.expect_no_breach();
+    group.expect_no_violation();
 }
 
-Test(replica, group_when_second_host_is_lost_after_a_repair_goes_on)
+Test(replica, group_when_second_host_is_lost_after_readmission_elects_a_leader)
 {
-    // A host loses its disk, comes back blank and is taken in again. The
-    // moment it counts as a voter another host dies for good. The operator
-    // sees no gap but the election, and no accepted change is missing.
+    // A host loses its disk and is readmitted. As soon as it is a voter again,
+    // a second host is lost permanently. The group must elect a leader again,
+    // and no accepted proposal may be lost.
     group_fixture group;
     std::size_t const leader = *group.leader();
-    std::size_t const blank = group.other_than(leader, leader);
-    cr_assert(group.settle(leader) == outcome::accepted);
-    group.crash(blank);
-    group.lose_disk(blank);
-    group.start(blank);
-    host_id const id = group.hosts[blank].id;
+    std::size_t const wiped = group.other_than(leader, leader);
+    cr_assert(group.propose_and_deliver(leader) == outcome::accepted);
+    group.crash(wiped);
+    group.lose_disk(wiped);
+    group.start(wiped);
+    host_id const id = group.hosts[wiped].id;
     for (int ticks = 0; ticks < 100; ++ticks)
     {
         if (group.hosts[leader].replica->membership().is_voter(id, 2))
@@ -133,24 +133,25 @@
     group.lose_disk(leader);
     group.run_for(5s);
     cr_assert(group.leader().has_value(), "%s", group.describe().c_str());
-    cr_assert(group.settle(*group.leader()) == outcome::accepted);
-    group.expect_no_breach();
+    cr_assert(group.propose_and_deliver(*group.leader()) == outcome::accepted);
+    group.expect_no_violation();
 }
 
-Test(replica, sole_voter_when_it_crashes_before_the_sync_told_no_commit)
+Test(replica, sole_voter_when_crashed_before_sync_has_reported_no_commit)
 {
-    // Schedule seed 823 found this: a group of one voter and a learner. The
-    // voter commits in the call that writes, sends beside the sync and dies
-    // before it. The learner must not have applied what the voter lost.
+    // Found by schedule seed 823, with one voter and a learner: the voter
+    // commits in the call that writes the entry, sends before the sync and
+    // crashes before it is durable. The learner must not have applied an entry
+    // that the voter lost.
     group_fixture group(1, 1);
     host_id const learner = group.hosts[1].id;
-    group.give(0, membership_change_requested{
-                      99, membership_action::add_learner, learner, 1});
+    group.process(0, membership_change_requested{
+                         99, membership_action::add_learner, learner, 1});
     group.run_for(1s);
     group.propose_at(0);
-    while (!group.hosts[0].due.empty() &&
+    while (!group.hosts[0].pending_effects.empty() &&
            !std::holds_alternative<bilberrylead::agreement::sync>(
-               group.hosts[0].due.front()))
+               group.hosts[0].pending_effects.front()))
     {
         group.carry_out(0, 1);
     }
@@ -158,47 +159,48 @@
     group.deliver_all();
     group.start(0);
     group.run_for(3s);
-    cr_assert(group.settle(0) == outcome::accepted);
-    group.expect_no_breach();
+    cr_assert(group.propose_and_deliver(0) == outcome::accepted);
+    group.expect_no_violation();
 }
 
 Test(replica, disk_when_failed_stops_the_leader_and_a_successor_takes_over)
 {
-    // The leader's disk is full. It must not acknowledge anything more; the
-    // operator's next change goes to the successor.
+    // The leader's disk fails. The leader must acknowledge nothing more, and
+    // the next proposal is accepted by its successor.
     group_fixture group;
     std::size_t const old = *group.leader();
-    group.give(old, disk_failed{});
-    cr_assert(group.settle(old) == outcome::refused);
+    group.process(old, disk_failed{});
+    cr_assert(group.propose_and_deliver(old) == outcome::refused);
     group.run_for(4s);
     cr_assert_neq(*group.leader(), old);
-    cr_assert(group.settle(*group.leader()) == outcome::accepted);
-    group.expect_no_breach();
+    cr_assert(group.propose_and_deliver(*group.leader()) == outcome::accepted);
+    group.expect_no_violation();
 }
 
-// All hosts lose power at once and callers wait for the first one that is
-// back: it must know what was in force before there is a leader. Until it
-// does, entry hosts that lost power as well refuse every request.
-Test(replica, host_when_all_lost_power_applies_what_was_committed_alone)
+// All hosts lose power at once and callers wait for the first one to restart.
+// It must apply the committed entries before there is a leader: until then,
+// entry hosts that lost power as well refuse every request.
+Test(replica, host_when_alone_after_power_loss_applies_committed_entries)
 {
     group_fixture group(3, 0);
     std::size_t const leader = *group.leader();
     for (int change = 0; change < 20; ++change)
     {
-        cr_assert(group.settle(leader) == outcome::accepted);
+        cr_assert(group.propose_and_deliver(leader) == outcome::accepted);
     }
     group.run_for(1s);
     std::uint64_t const committed = group.checker.committed();
-    for (std::size_t place = 0; place < 3; ++place)
+    for (std::size_t host_index = 0; host_index < 3; ++host_index)
     {
-        group.crash(place);
+        group.crash(host_index);
     }
     group.start(0);
     cr_expect_eq(group.hosts[0].applied, committed);
     group.run_for(5s);
-    cr_expect_not(group.leader().has_value(), "one of three elects nobody");
+    cr_expect_not(group.leader().has_value(),
+                  "one host of three must not elect a leader");
     group.start(1);
     group.run_for(5s);
-    cr_expect(group.settle(*group.leader()) == outcome::accepted);
-    group.expect_no_breach();
+    cr_expect(group.propose_and_deliver(*group.leader()) == outcome::accepted);
+    group.expect_no_violation();
 }
--- a/tests/unit/agreement/membership_test.cpp
+++ b/tests/unit/agreement/membership_test.cpp
@@ -14,21 +14,21 @@
 
 } // namespace
 
-Test(membership, newcomer_when_added_catches_up_and_becomes_a_voter)
+Test(membership, new_host_when_added_catches_up_and_becomes_a_voter)
 {
     group_fixture group(3, 1);
     std::size_t const leader = *group.leader();
-    group.settle(leader);
-    group.give(leader, membership_change_requested{change_token,
-                                                   membership_action::add_voter,
-                                                   group.hosts[3].id, 0});
+    group.propose_and_deliver(leader);
+    group.process(leader, membership_change_requested{
+                              change_token, membership_action::add_voter,
+                              group.hosts[3].id, 0});
     group.run_for(2s);
     cr_assert(group.outcome_of(change_token) == outcome::accepted);
     membership const& members = group.hosts[leader].replica->membership();
     cr_assert(members.is_voter(group.hosts[3].id, 1), "%s",
               group.describe().c_str());
     cr_assert_eq(members.quorum(), 3U);
-    group.expect_no_breach();
+    group.expect_no_violation();
 }
 
 Test(membership, second_change_before_the_first_is_committed_is_refused)
@@ -50,50 +50,50 @@
 
 Test(membership, change_that_leaves_no_live_quorum_is_refused)
 {
-    // One of three hosts is down. An operator takes out the wrong one of
-    // the two that live; let in, it could never be committed nor undone.
+    // One of three hosts is down and an operator removes one of the two that
+    // respond. If accepted, the change could be neither committed nor undone.
     group_fixture group;
     std::size_t const leader = *group.leader();
-    std::size_t const dead = group.other_than(leader, leader);
-    std::size_t const live = group.other_than(leader, dead);
-    group.crash(dead);
+    std::size_t const crashed = group.other_than(leader, leader);
+    std::size_t const live = group.other_than(leader, crashed);
+    group.crash(crashed);
     group.run_for(2s);
-    group.give(leader, membership_change_requested{change_token,
-                                                   membership_action::remove,
-                                                   group.hosts[live].id, 0});
+    group.process(leader, membership_change_requested{change_token,
+                                                      membership_action::remove,
+                                                      group.hosts[live].id, 0});
     cr_assert(group.outcome_of(change_token) == outcome::refused);
-    cr_assert(group.settle(leader) == outcome::accepted);
+    cr_assert(group.propose_and_deliver(leader) == outcome::accepted);
 }
 
-Test(membership, leader_that_took_itself_out_alone_leads_until_it_is_settled)
+Test(membership, leader_when_its_removal_is_unreplicated_leads_until_it_commits)
 {
-    // Schedule seeds found this: one of two voters leads and takes itself
-    // out, and the entry reaches nobody. The other one needs its vote and
-    // has the shorter log; it must stand once more itself.
+    // Found by schedule seeds: the leader of two voters removes itself, and the
+    // entry reaches no other host. The other voter needs its vote but has the
+    // shorter log, so the removed host must lead once more.
     group_fixture group(2);
     std::size_t const leader = *group.leader();
     group.isolate(leader);
-    group.give(leader, membership_change_requested{change_token,
-                                                   membership_action::remove,
-                                                   group.hosts[leader].id, 0});
+    group.process(leader, membership_change_requested{
+                              change_token, membership_action::remove,
+                              group.hosts[leader].id, 0});
     group.run_for(3s);
     group.heal();
     group.run_for(10s);
     cr_assert(group.leader().has_value(), "%s", group.describe().c_str());
     cr_assert_neq(*group.leader(), leader);
-    group.expect_no_breach();
+    group.expect_no_violation();
 }
 
-Test(membership, leader_when_stopped_by_plan_hands_over_without_a_timeout)
+Test(membership, leader_when_handover_is_requested_hands_over_without_a_timeout)
 {
-    // A host is to be stopped for maintenance while it leads. Its successor
-    // leads within a few messages; callers do not wait out a timeout.
+    // The leader is to be stopped for maintenance. Its successor must be
+    // elected within a few messages, without an election timeout.
     group_fixture group;
     std::size_t const old = *group.leader();
-    group.give(old, handover_requested{});
+    group.process(old, handover_requested{});
     group.deliver_all();
     cr_assert(group.leader().has_value());
     cr_assert_neq(*group.leader(), old);
-    cr_assert(group.settle(*group.leader()) == outcome::accepted);
-    group.expect_no_breach();
+    cr_assert(group.propose_and_deliver(*group.leader()) == outcome::accepted);
+    group.expect_no_violation();
 }
--- a/tests/unit/agreement/test_group.hpp
+++ b/tests/unit/agreement/test_group.hpp
@@ -19,21 +19,21 @@
 namespace bilberrylead::agreement::tests
 {
 
-/// A message that is under way.
+/// A message in flight.
 struct envelope
 {
-    /// Sender.
+    /// Index of the sender.
     std::size_t from = 0;
-    /// Receiver.
+    /// Index of the receiver.
     std::size_t to = 0;
-    /// What it says.
+    /// The message.
     agreement::message message;
 };
 
-/// What became of a proposal.
+/// The outcome of a proposal.
 enum class outcome
 {
-    /// No answer yet.
+    /// Not answered yet.
     open,
     /// proposal_accepted.
     accepted,
@@ -43,94 +43,98 @@
     unknown,
 };
 
-/// A few replicas whose deliveries, crashes and clocks the test scripts.
-/// Everything that is told to anybody goes by the checker.
+/// A small group of replicas. The test controls message delivery, crashes and
+/// clocks; the checker observes everything that is reported to clients.
 class test_group
 {
 public:
-    /// Makes `founders` voters and `spares` hosts that start blank, and
-    /// starts all of them.
-    test_group(std::size_t founders, std::size_t spares, std::uint64_t seed,
-               replica_settings const& pace = {}, safeguards const& kept = {});
+    /// Creates `initial_members` voters and `spare_hosts` hosts with empty
+    /// disks, and starts all of them.
+    test_group(std::size_t initial_members, std::size_t spare_hosts,
+               std::uint64_t seed, replica_settings const& group_settings = {},
+               safeguards const& enabled = {});
 
     /// Starts a host's process from its disk.
-    void start(std::size_t place);
-    /// Kills a process; `kept` of its unsynced writes survive.
-    void crash(std::size_t place, std::size_t kept = 0);
-    /// Wipes a dead host's disk: it returns as a new incarnation.
-    void lose_disk(std::size_t place);
-    /// Messages from one host to another are lost from now on.
-    void cut(std::size_t from, std::size_t to);
-    /// Cuts a host off in both directions.
-    void isolate(std::size_t place);
-    /// Ends all cuts.
+    void start(std::size_t host_index);
+    /// Crashes a process; the first `kept` of its unsynced writes survive.
+    void crash(std::size_t host_index, std::size_t kept = 0);
+    /// Wipes the disk of a host that is down: it restarts as a new incarnation.
+    void lose_disk(std::size_t host_index);
+    /// Drops messages from one host to another from now on.
+    void block_link(std::size_t from, std::size_t to);
+    /// Blocks all links of a host, in both directions.
+    void isolate(std::size_t host_index);
+    /// Restores all links.
     void heal();
 
-    /// Hands an event to a running host and carries all effects out.
-    void give(std::size_t place, event const& what);
-    /// Hands an event to a running host; its effects become due.
-    void reduce(std::size_t place, event const& what);
-    /// Hands several events over in one call.
-    void reduce(std::size_t place, std::span<event const> events);
-    /// Carries out at most so many due effects.
-    void carry_out(std::size_t place, std::size_t count);
-    /// Carries out every effect that is due.
-    void carry_out_all(std::size_t place);
+    /// Passes an event to a running host and executes all its effects.
+    void process(std::size_t host_index, event const& event);
+    /// Passes an event to a running host; its effects become pending.
+    void reduce(std::size_t host_index, event const& event);
+    /// Passes several events to a running host in one call.
+    void reduce(std::size_t host_index, std::span<event const> events);
+    /// Executes at most `count` pending effects.
+    void carry_out(std::size_t host_index, std::size_t count);
+    /// Executes all pending effects.
+    void carry_out_all(std::size_t host_index);
 
-    /// Takes the message at a place out of those under way and delivers it,
-    /// unless there is a cut; `keep` leaves a duplicate under way.
-    void deliver(std::size_t message_place, bool keep = false);
-    /// Delivers the oldest messages to a host, at most so many, in one call.
-    void deliver_batch(std::size_t to, std::size_t most);
-    /// Delivers, oldest first, until nothing is under way.
+    /// Removes the message at an index from those in flight and delivers it; it
+    /// is lost if the receiver is not running. `keep` leaves a duplicate in
+    /// flight.
+    void deliver(std::size_t message_index, bool keep = false);
+    /// Delivers the oldest messages for a host, at most `max_messages`, in one
+    /// call.
+    void deliver_batch(std::size_t to, std::size_t max_messages);
+    /// Delivers messages, oldest first, until none is in flight.
     void deliver_all();
-    /// Lets time pass in steps of a tick at every running host; delivers
-    /// everything after each.
+    /// Advances time in steps of one tick; after each step every running host
+    /// gets a tick event and all messages are delivered.
     void run_for(duration length);
-    /// As run_for, until someone leads and everyone that runs follows it.
-    bool run_until_led();
+    /// Runs until there is a leader that all running members follow; false if
+    /// that takes too long.
+    bool run_until_leader_elected();
 
-    /// Proposes at a host; gives the token.
-    std::uint64_t propose_at(std::size_t place);
-    /// Makes a proposal without handing it over.
+    /// Proposes at a host and returns the token.
+    std::uint64_t propose_at(std::size_t host_index);
+    /// Creates a proposal without passing it to a host.
     event new_proposal();
-    /// Makes a read without handing it over.
+    /// Creates a read request without passing it to a host.
     event new_read();
-    /// Asks a host for a read; gives the token.
-    std::uint64_t read_at(std::size_t place);
-    /// What became of a proposal.
+    /// Requests a read at a host and returns the token.
+    std::uint64_t read_at(std::size_t host_index);
+    /// The outcome of a proposal.
     outcome outcome_of(std::uint64_t token) const;
-    /// The index a read was answered at, if it was.
+    /// The index at which a read was answered; nullopt if it was not.
     std::optional<std::uint64_t> read_index(std::uint64_t token) const;
-    /// The leader of the latest term among those that run, if any.
+    /// Index of the running leader with the latest term, if there is one.
     std::optional<std::size_t> leader() const;
-    /// One line on each host, for the message of a failure.
+    /// One line for each host, for failure messages.
     std::string describe() const;
-    /// The host's own time.
-    instant now_at(std::size_t place) const;
+    /// Current time by the host's clock.
+    instant now_at(std::size_t host_index) const;
 
-    /// Hosts by place.
+    /// Hosts by index.
     std::vector<test_host> hosts;
-    /// Messages under way.
-    std::deque<envelope> under_way;
-    /// What must hold.
+    /// Messages in flight, oldest first.
+    std::deque<envelope> in_flight;
+    /// Checks the group's invariants.
     group_checker checker;
-    /// Time since the start.
+    /// Time since the test began.
     duration elapsed{};
-    /// The hosts' settings.
+    /// Settings of all replicas.
     replica_settings settings;
 
 private:
-    void carry_out(test_host& host, effect const& what);
-    std::optional<message_received> arrive(envelope&& next);
-    void post(std::size_t from, send const& what);
+    void carry_out(test_host& host, effect const& next);
+    std::optional<message_received> receive(envelope&& next);
+    void enqueue(std::size_t from, send const& sent);
     void check_host(test_host& host, instant now);
     void check_campaigns(test_host& host, std::uint64_t term_before);
     void check_quorum(test_host const& host, instant now);
 
-    safeguards switches;
-    membership founding;
-    std::set<std::pair<std::size_t, std::size_t>> cuts;
+    safeguards enabled_safeguards;
+    membership initial_membership;
+    std::set<std::pair<std::size_t, std::size_t>> blocked_links;
     std::uint64_t seed;
     std::uint64_t next_token = 1;
     std::map<std::uint64_t, outcome> outcomes;
