--- a/bilberrylead/control/control_event.hpp
+++ b/bilberrylead/control/control_event.hpp
@@ -54,18 +54,18 @@
 };
 
 /// An operator asks for something; answered exactly once.
-struct operator_asked
+struct operator_request_received
 {
     /// Number for the answer, never used again.
     std::uint64_t number = 0;
     /// What is asked.
     operator_request request;
     /// Wall time, for the audit trail.
-    wall_time asked_at;
+    wall_time received_at;
 };
 
 /// An operator went away; the answer is no longer wanted.
-struct operator_gone
+struct operator_disconnected
 {
     /// The request's number.
     std::uint64_t number = 0;
@@ -82,7 +82,7 @@
 };
 
 /// A page of the list of upstreams came.
-struct list_page_came
+struct list_page_received
 {
     /// Number of the call.
     std::uint64_t number = 0;
@@ -100,8 +100,9 @@
 /// Everything that can happen to a control host.
 using control_event =
     std::variant<control_started, peer_connected, peer_disconnected,
-                 peer_message, operator_asked, operator_gone, control_tick,
-                 control_disk_failed, list_page_came, list_call_failed>;
+                 peer_message, operator_request_received, operator_disconnected,
+                 control_tick, control_disk_failed, list_page_received,
+                 list_call_failed>;
 
 } // namespace bilberrylead::control
 
--- a/bilberrylead/control/control_reducer.cpp
+++ b/bilberrylead/control/control_reducer.cpp
@@ -47,9 +47,9 @@
     for (control_event const& event : events)
     {
         std::visit(
-            [this](auto const& what)
+            [this](auto const& typed_event)
             {
-                this->on(what);
+                this->on(typed_event);
             },
             event);
     }
@@ -67,40 +67,41 @@
     return this->replicated;
 }
 
-void control_reducer::on(control_started const& what)
+void control_reducer::on(control_started const& event)
 {
     this->time_advanced_at = this->time;
-    this->replica_events.emplace_back(what.recovered);
-    if (what.listing.has_value())
+    this->replica_events.emplace_back(event.recovered);
+    if (event.listing.has_value())
     {
-        this->listing.take(*what.listing, this->time);
-        this->note_listing(*what.listing);
+        this->listing.apply(*event.listing, this->time);
+        this->record_listing_change(*event.listing);
     }
-    this->held_plan = what.plan;
+    this->current_plan = event.plan;
 }
 
-void control_reducer::on(peer_connected const& what)
+void control_reducer::on(peer_connected const& event)
 {
-    this->links[what.link] = what.peer;
-    this->tell_crashes(what.link);
-    if (what.peer.role == link::peer_role::control)
+    this->links[event.link] = event.peer;
+    this->send_crash_records(event.link);
+    if (event.peer.role == link::peer_role::control)
     {
-        this->control_links[what.peer.id] = what.link;
-        this->send(what.link, link::host_place{this->settings.zone,
-                                               this->settings.region});
-        this->send(what.link, link::upstream_request{this->listing.position()});
-        this->tell_group(what.link);
+        this->control_links[event.peer.id] = event.link;
+        this->send(event.link, link::host_place{this->settings.zone,
+                                                this->settings.region});
+        this->send(event.link,
+                   link::upstream_request{this->listing.position()});
+        this->send_group_update(event.link);
         return;
     }
-    this->exchange_event(distribution::link_opened{what.link, what.peer});
-    this->send(what.link, link::leader_notice{this->replica.leader(), 0});
-    this->tell_group(what.link);
+    this->exchange_event(distribution::link_opened{event.link, event.peer});
+    this->send(event.link, link::leader_notice{this->replica.leader(), 0});
+    this->send_group_update(event.link);
 }
 
-void control_reducer::on(peer_disconnected const& what)
+void control_reducer::on(peer_disconnected const& event)
 {
     std::map<link::link_number, link::peer_identity>::iterator const found =
-        this->links.find(what.link);
+        this->links.find(event.link);
     if (found == this->links.end())
     {
         return;
@@ -108,11 +109,11 @@
     host_id const peer = found->second.id;
     bool const was_control = found->second.role == link::peer_role::control;
     this->links.erase(found);
-    this->exchange_event(distribution::link_closed{what.link});
-    this->entry_hosts.lost(what.link);
+    this->exchange_event(distribution::link_closed{event.link});
+    this->entry_hosts.remove_link(event.link);
 
     // Another link to the same control host may still be open.
-    if (was_control && this->control_links[peer] == what.link)
+    if (was_control && this->control_links[peer] == event.link)
     {
         this->control_links.erase(peer);
         for (std::pair<link::link_number const, link::peer_identity> const&
@@ -126,45 +127,45 @@
     }
 }
 
-void control_reducer::on(peer_message const& what)
+void control_reducer::on(peer_message const& event)
 {
-    if (!this->links.contains(what.link))
+    if (!this->links.contains(event.link))
     {
         return;
     }
     std::visit(
-        [this, &what](auto const& said)
+        [this, &event](auto const& message)
         {
-            this->on_peer(what.link, said);
+            this->on_peer(event.link, message);
         },
-        what.content);
+        event.content);
 }
 
-void control_reducer::on(operator_asked const& what)
+void control_reducer::on(operator_request_received const& event)
 {
     std::visit(
-        [this, &what](auto const& request)
+        [this, &event](auto const& request)
         {
-            this->ask(what, request);
+            this->handle_request(event, request);
         },
-        what.request);
+        event.request);
 }
 
-void control_reducer::on(operator_gone const& what)
+void control_reducer::on(operator_disconnected const& event)
 {
-    this->open_reads.erase(what.number);
-    this->open_audits.erase(what.number);
-    this->open_order_reads.erase(what.number);
+    this->pending_reads.erase(event.number);
+    this->pending_audits.erase(event.number);
+    this->pending_order_reads.erase(event.number);
 }
 
 void control_reducer::on(control_tick const&)
 {
     this->replica_events.emplace_back(agreement::tick{});
     this->exchange_event(distribution::exchange_tick{});
-    this->tell_group();
+    this->send_group_update();
     this->plan_membership();
     this->read_list();
-    this->ask_for_listing();
+    this->request_listing();
     this->plan_regions();
     this->crashes.expire(this->time);
 
@@ -179,7 +180,7 @@
     if (elapsed >= this->settings.time_step)
     {
         this->time_advanced_at = this->time;
-        this->propose(nobody_waits{}, once::advance_time{elapsed});
+        this->propose(no_waiter{}, once::advance_time{elapsed});
     }
 }
 
@@ -189,7 +190,7 @@
 }
 
 void control_reducer::on_peer(link::link_number from,
-                              link::replica_message const& said)
+                              link::replica_message const& message)
 {
     // Only a control host's messages are the log's; an entry host's would
     // be a vote from nowhere.
@@ -198,7 +199,7 @@
         return;
     }
     absl::StatusOr<agreement::message> content =
-        agreement::decode_message(said.content);
+        agreement::decode_message(message.content);
     if (content.ok())
     {
         this->replica_events.emplace_back(agreement::message_received{
@@ -207,29 +208,29 @@
 }
 
 void control_reducer::on_peer(link::link_number from,
-                              link::subscription const& said)
+                              link::subscription const& message)
 {
-    this->exchange_event(distribution::subscription_received{from, said});
+    this->exchange_event(distribution::subscription_received{from, message});
 }
 
 void control_reducer::on_peer(link::link_number from,
-                              link::registration_request const& said)
+                              link::registration_request const& message)
 {
     this->propose(
-        entry_host_waits{from, 0},
-        once::register_entry_host{this->peer_of(from), said.incarnation});
+        waiting_entry_host{from, 0},
+        once::register_entry_host{this->peer_of(from), message.incarnation});
 }
 
 void control_reducer::on_peer(link::link_number from,
-                              link::once_request const& said)
+                              link::once_request const& message)
 {
     catalog::replicated_command const command = std::visit(
         [](auto const& held) -> catalog::replicated_command
         {
             return held;
         },
-        said.command);
-    this->propose(entry_host_waits{from, said.number}, command);
+        message.command);
+    this->propose(waiting_entry_host{from, message.number}, command);
 }
 
 template <class Other>
@@ -238,10 +239,10 @@
     // Meant for entry hosts; a control host has no use for it.
 }
 
-void control_reducer::exchange_event(distribution::exchange_event const& what)
+void control_reducer::exchange_event(distribution::exchange_event const& event)
 {
     for (distribution::exchange_effect& effect :
-         this->exchange.reduce(what, this->time))
+         this->exchange.reduce(event, this->time))
     {
         if (distribution::send_message* const sent =
                 std::get_if<distribution::send_message>(&effect))
--- a/bilberrylead/control/control_reducer.hpp
+++ b/bilberrylead/control/control_reducer.hpp
@@ -8,7 +8,7 @@
 #include "bilberrylead/control/control_effect.hpp"
 #include "bilberrylead/control/control_event.hpp"
 #include "bilberrylead/control/control_reducer_settings.hpp"
-#include "bilberrylead/control/open_requests.hpp"
+#include "bilberrylead/control/pending_requests.hpp"
 #include "bilberrylead/discovery/list_reader.hpp"
 #include "bilberrylead/discovery/upstream_listing.hpp"
 #include "bilberrylead/distribution/revision_exchange.hpp"
@@ -53,10 +53,10 @@
     catalog::replicated_state const& state() const;
 
     /// Which entry hosts a caller should use.
-    presence::steering_reply steer(presence::steering_question const& question,
+    presence::steering_reply steer(presence::steering_query const& query,
                                    instant now)
     {
-        return this->entry_hosts.answer(question, now);
+        return this->entry_hosts.reply_to(query, now);
     }
 
     /// The upstreams as this host knows them, for metrics.
@@ -68,7 +68,7 @@
     /// The newest plan of this host's region; nothing if none is known.
     std::optional<link::region_plan> const& plan() const
     {
-        return this->held_plan;
+        return this->current_plan;
     }
 
     /// Requests under which upstreams ended, for metrics.
@@ -78,44 +78,55 @@
     }
 
 private:
-    void on(control_started const& what);
-    void on(peer_connected const& what);
-    void on(peer_disconnected const& what);
-    void on(peer_message const& what);
-    void on(operator_asked const& what);
-    void on(operator_gone const& what);
-    void on(control_tick const& what);
-    void on(control_disk_failed const& what);
-    void on(list_page_came const& what);
-    void on(list_call_failed const& what);
-
-    void on_peer(link::link_number from, link::replica_message const& said);
-    void on_peer(link::link_number from, link::subscription const& said);
+    void on(control_started const& event);
+    void on(peer_connected const& event);
+    void on(peer_disconnected const& event);
+    void on(peer_message const& event);
+    void on(operator_request_received const& event);
+    void on(operator_disconnected const& event);
+    void on(control_tick const& event);
+    void on(control_disk_failed const& event);
+    void on(list_page_received const& event);
+    void on(list_call_failed const& event);
+
+    void on_peer(link::link_number from, link::replica_message const& message);
+    void on_peer(link::link_number from, link::subscription const& message);
     void on_peer(link::link_number from,
-                 link::registration_request const& said);
-    void on_peer(link::link_number from, link::once_request const& said);
-    void on_peer(link::link_number from, link::entry_presence const& said);
-    void on_peer(link::link_number from, link::host_place const& said);
-    void on_peer(link::link_number from, link::group_news const& said);
-    void on_peer(link::link_number from, link::upstream_update const& said);
-    void on_peer(link::link_number from, link::upstream_request const& said);
-    void on_peer(link::link_number from, link::region_plan const& said);
-    void on_peer(link::link_number from, link::crash_report const& said);
-    void on_peer(link::link_number from, link::limit_notice const& said);
+                 link::registration_request const& message);
+    void on_peer(link::link_number from, link::once_request const& message);
+    void on_peer(link::link_number from, link::entry_presence const& message);
+    void on_peer(link::link_number from, link::host_place const& message);
+    void on_peer(link::link_number from, link::group_news const& message);
+    void on_peer(link::link_number from, link::upstream_update const& message);
+    void on_peer(link::link_number from, link::upstream_request const& message);
+    void on_peer(link::link_number from, link::region_plan const& message);
+    void on_peer(link::link_number from, link::crash_report const& message);
+    void on_peer(link::link_number from, link::limit_notice const& message);
     template <class Other>
-    void on_peer(link::link_number from, Other const& said);
-
-    void ask(operator_asked const& asked, submit_change const& request);
-    void ask(operator_asked const& asked, read_configuration const& request);
-    void ask(operator_asked const& asked, read_audit const& request);
-    void ask(operator_asked const& asked, read_status const& request);
-    void ask(operator_asked const& asked, change_membership const& request);
-    void ask(operator_asked const& asked, hand_over const& request);
-    void ask(operator_asked const& asked, submit_orders const& request);
-    void ask(operator_asked const& asked, submit_zone_order const& request);
-    void ask(operator_asked const& asked, read_orders const& request);
-    void ask(operator_asked const& asked, read_crash_records const& request);
-    void ask(operator_asked const& asked, lift_crash_record const& request);
+    void on_peer(link::link_number from, Other const& message);
+
+    void handle_request(operator_request_received const& received,
+                        submit_change const& request);
+    void handle_request(operator_request_received const& received,
+                        read_configuration const& request);
+    void handle_request(operator_request_received const& received,
+                        read_audit const& request);
+    void handle_request(operator_request_received const& received,
+                        read_status const& request);
+    void handle_request(operator_request_received const& received,
+                        change_membership const& request);
+    void handle_request(operator_request_received const& received,
+                        hand_over const& request);
+    void handle_request(operator_request_received const& received,
+                        submit_orders const& request);
+    void handle_request(operator_request_received const& received,
+                        submit_zone_order const& request);
+    void handle_request(operator_request_received const& received,
+                        read_orders const& request);
+    void handle_request(operator_request_received const& received,
+                        read_crash_records const& request);
+    void handle_request(operator_request_received const& received,
+                        lift_crash_record const& request);
 
     void run_replica();
     void carry_out(agreement::persist_hard_state const& effect);
@@ -136,27 +147,29 @@
 
     void plan_membership();
     std::vector<membership::planned_host> planned_hosts() const;
-    link::group_host placed(host_id const& host) const;
-    void tell_group();
-    void tell_group(link::link_number to);
+    link::group_host group_host_of(host_id const& host) const;
+    void send_group_update();
+    void send_group_update(link::link_number to);
     void read_list();
-    void expect_list();
-    void ask_for_listing();
-    void note_listing(discovery::list_changes const& changes);
+    void set_list_expectation();
+    void request_listing();
+    void record_listing_change(discovery::list_changes const& changes);
     void plan_regions();
-    void tell_crashes(link::link_number to);
+    void send_crash_records(link::link_number to);
 
-    void propose(waiter who, catalog::replicated_command const& command);
+    void propose(waiter requester, catalog::replicated_command const& command);
     void publish();
-    void exchange_event(distribution::exchange_event const& what);
+    void exchange_event(distribution::exchange_event const& event);
     void answer(std::uint64_t number, operator_reply reply);
-    void answer_accepted(operator_waits const& who, std::uint64_t index);
-    void answer_accepted(entry_host_waits const& who, std::uint64_t index);
-    void refuse(waiter const& who, absl::Status const& why,
+    void answer_accepted(waiting_operator const& requester,
+                         std::uint64_t index);
+    void answer_accepted(waiting_entry_host const& requester,
+                         std::uint64_t index);
+    void refuse(waiter const& requester, absl::Status const& reason,
                 host_id const& leader);
     void send(link::link_number to, link::message content);
     configuration_reply configuration_of(revision wanted) const;
-    audit_reply newest_audit(std::size_t most) const;
+    audit_reply newest_audit(std::size_t max_entries) const;
     status_reply status() const;
     host_id const& peer_of(link::link_number number) const;
 
@@ -167,10 +180,10 @@
     distribution::revision_exchange exchange;
     std::map<link::link_number, link::peer_identity> links;
     std::map<host_id, link::link_number> control_links;
-    open_requests open;
-    std::map<std::uint64_t, read_configuration> open_reads;
-    std::map<std::uint64_t, std::size_t> open_audits;
-    std::set<std::uint64_t> open_order_reads;
+    pending_requests pending;
+    std::map<std::uint64_t, read_configuration> pending_reads;
+    std::map<std::uint64_t, std::size_t> pending_audits;
+    std::set<std::uint64_t> pending_order_reads;
     std::map<std::uint64_t, catalog::replicated_outcome> outcomes;
     std::vector<agreement::event> replica_events;
     std::vector<control_effect> effects;
@@ -178,16 +191,16 @@
     host_id known_leader;
     presence::entry_table entry_hosts;
     std::map<host_id, link::host_place> places;
-    link::group_news told_group;
-    instant group_told_at{};
+    link::group_news sent_group;
+    instant group_sent_at{};
     instant planned_at;
     discovery::upstream_listing listing;
     std::optional<discovery::list_reader> reader;
-    instant listing_asked_at;
-    instant listing_told_at;
+    instant listing_requested_at;
+    instant listing_sent_at;
     instant regions_planned_at;
-    std::optional<link::region_plan> held_plan;
-    instant leads_since{};
+    std::optional<link::region_plan> current_plan;
+    instant leader_since{};
     policy::crash_history crashes;
 };
 
--- a/bilberrylead/control/control_reducer_group.cpp
+++ b/bilberrylead/control/control_reducer_group.cpp
@@ -19,13 +19,13 @@
 /// must be out of use is soon enough.
 constexpr std::chrono::milliseconds early_listing_interval{400};
 
-std::vector<host_id> names_of(link::group_news const& news)
+std::vector<host_id> names_of(link::group_news const& update)
 {
     std::vector<host_id> names;
-    names.reserve(news.control_hosts.size());
-    for (link::group_host const& each : news.control_hosts)
+    names.reserve(update.control_hosts.size());
+    for (link::group_host const& host : update.control_hosts)
     {
-        names.push_back(each.id);
+        names.push_back(host.id);
     }
     return names;
 }
@@ -33,38 +33,40 @@
 } // namespace
 
 void control_reducer::on_peer(link::link_number from,
-                              link::entry_presence const& said)
+                              link::entry_presence const& message)
 {
     // An entry host that starts sends its first requests by this plan. Until
     // the leader's next one it would send all of them home, to upstreams that
     // do not know their objects, and come back from there at a bounded pace.
     bool const is_new =
         !this->entry_hosts.hosts().contains(this->peer_of(from));
-    if (is_new && this->held_plan.has_value() &&
-        said.region == this->settings.region)
+    if (is_new && this->current_plan.has_value() &&
+        message.region == this->settings.region)
     {
-        this->send(from, *this->held_plan);
+        this->send(from, *this->current_plan);
     }
-    this->entry_hosts.heard(from, this->peer_of(from), said, this->time);
+    this->entry_hosts.record_heartbeat(from, this->peer_of(from), message,
+                                       this->time);
 }
 
 void control_reducer::on_peer(link::link_number from,
-                              link::host_place const& said)
+                              link::host_place const& message)
 {
-    this->places[this->peer_of(from)] = said;
+    this->places[this->peer_of(from)] = message;
 }
 
-void control_reducer::on_peer(link::link_number, link::group_news const& said)
+void control_reducer::on_peer(link::link_number,
+                              link::group_news const& message)
 {
     // Only a host that is in no group yet learns the others so; a member
     // knows them from the log.
     if (this->replica.membership().members.empty())
     {
-        this->effects.emplace_back(link_members{names_of(said)});
+        this->effects.emplace_back(link_members{names_of(message)});
     }
 }
 
-link::group_host control_reducer::placed(host_id const& host) const
+link::group_host control_reducer::group_host_of(host_id const& host) const
 {
     if (host == this->settings.self)
     {
@@ -77,48 +79,48 @@
                                   known->second.region};
 }
 
-void control_reducer::tell_group()
+void control_reducer::send_group_update()
 {
-    link::group_news news;
-    for (agreement::member const& one : this->replica.membership().members)
+    link::group_news update;
+    for (agreement::member const& member : this->replica.membership().members)
     {
-        news.control_hosts.push_back(this->placed(one.host));
+        update.control_hosts.push_back(this->group_host_of(member.host));
     }
     bool const same_group =
-        news.control_hosts == this->told_group.control_hosts;
+        update.control_hosts == this->sent_group.control_hosts;
     if (same_group &&
-        this->time - this->group_told_at < this->settings.entry_count_interval)
+        this->time - this->group_sent_at < this->settings.entry_count_interval)
     {
         return;
     }
-    news.entry_hosts = this->entry_hosts.ready_hosts(this->time);
-    news.region_entry_hosts =
-        this->entry_hosts.most_ready_hosts_of_a_region(this->time);
-    if (news == this->told_group || news.control_hosts.empty())
+    update.entry_hosts = this->entry_hosts.ready_hosts(this->time);
+    update.region_entry_hosts =
+        this->entry_hosts.max_ready_hosts_per_region(this->time);
+    if (update == this->sent_group || update.control_hosts.empty())
     {
         return;
     }
-    this->told_group = news;
-    this->group_told_at = this->time;
-    this->effects.emplace_back(link_members{names_of(news)});
+    this->sent_group = update;
+    this->group_sent_at = this->time;
+    this->effects.emplace_back(link_members{names_of(update)});
     for (auto const& [number, peer] : this->links)
     {
-        this->send(number, news);
+        this->send(number, update);
     }
 }
 
-void control_reducer::tell_group(link::link_number to)
+void control_reducer::send_group_update(link::link_number to)
 {
-    if (!this->told_group.control_hosts.empty())
+    if (!this->sent_group.control_hosts.empty())
     {
-        this->send(to, this->told_group);
+        this->send(to, this->sent_group);
     }
 }
 
 std::vector<membership::planned_host> control_reducer::planned_hosts() const
 {
     std::vector<membership::planned_host> hosts;
-    auto const placed = [this](membership::planned_host host)
+    auto const with_location = [this](membership::planned_host host)
     {
         auto const known = this->places.find(host.host);
         if (known != this->places.end())
@@ -128,7 +130,7 @@
         }
         return host;
     };
-    std::set<host_id> listed;
+    std::set<host_id> member_ids;
     for (agreement::member_state const& state :
          this->replica.members(this->time))
     {
@@ -139,21 +141,21 @@
         host.voter = state.who.voter;
         host.becomes_voter = state.who.voter_when_caught_up;
         host.caught_up = state.caught_up;
-        host.silent_for = state.silent_for;
+        host.unresponsive_for = state.silent_for;
         host.leader = host.host == this->settings.self;
         host.linked = this->control_links.contains(host.host);
-        listed.insert(host.host);
-        hosts.push_back(placed(std::move(host)));
+        member_ids.insert(host.host);
+        hosts.push_back(with_location(std::move(host)));
     }
     for (auto const& [name, number] : this->control_links)
     {
-        if (!listed.contains(name) && name != this->settings.self)
+        if (!member_ids.contains(name) && name != this->settings.self)
         {
             membership::planned_host host;
             host.host = name;
             host.incarnation = this->links.at(number).incarnation;
             host.linked = true;
-            hosts.push_back(placed(std::move(host)));
+            hosts.push_back(with_location(std::move(host)));
         }
     }
     return hosts;
@@ -161,10 +163,10 @@
 
 void control_reducer::plan_membership()
 {
-    bool const is_due =
-        this->settings.planner.has_value() &&
-        this->replica.role() == agreement::role::leader &&
-        this->time - this->planned_at >= this->settings.plan_interval;
+    bool const is_due = this->settings.planner.has_value() &&
+                        this->replica.role() == agreement::role::leader &&
+                        this->time - this->planned_at >=
+                            this->settings.membership_plan_interval;
     if (!is_due)
     {
         return;
@@ -175,7 +177,7 @@
     if (change.has_value())
     {
         this->effects.emplace_back(membership_planned{*change});
-        change->token = this->open.add(nobody_waits{});
+        change->token = this->pending.add(no_waiter{});
         this->replica_events.emplace_back(std::move(*change));
     }
 }
@@ -189,7 +191,7 @@
     bool const leads = this->replica.role() == agreement::role::leader;
     if (leads != this->reader->is_active())
     {
-        this->expect_list();
+        this->set_list_expectation();
         this->reader->set_active(leads, this->time);
     }
     while (std::optional<discovery::page_call> const call =
@@ -200,7 +202,7 @@
 }
 
 /// A new leader goes by what its predecessor told.
-void control_reducer::expect_list()
+void control_reducer::set_list_expectation()
 {
     std::map<upstream_id, discovery::listed_upstream> const& held =
         this->listing.upstreams();
@@ -208,38 +210,39 @@
         held.begin(), held.end(),
         [this](auto const& known)
         {
-            return this->reader->knows_zone(known.second.upstream.zone);
+            return this->reader->has_zone(known.second.upstream.zone);
         });
     this->reader->expect(held.size(), only_known_zones);
 }
 
-void control_reducer::on(list_page_came const& what)
+void control_reducer::on(list_page_received const& event)
 {
     if (!this->reader.has_value())
     {
         return;
     }
-    std::optional<std::vector<discovery::listed_upstream>> const found =
-        this->reader->page_read(what.number, what.page, this->time);
+    std::optional<std::vector<discovery::listed_upstream>> const upstreams =
+        this->reader->page_received(event.number, event.page, this->time);
     // The next page is asked for at once: a timer's pause for each page of a
     // long list adds up to seconds.
     this->read_list();
     std::optional<discovery::list_changes> changes;
-    if (found.has_value())
+    if (upstreams.has_value())
     {
-        changes = this->listing.read(*found, this->replica.term(), this->time);
+        changes = this->listing.apply_reading(*upstreams, this->replica.term(),
+                                              this->time);
     }
-    else if (this->time >= this->listing_told_at + early_listing_interval)
+    else if (this->time >= this->listing_sent_at + early_listing_interval)
     {
-        changes = this->listing.read_leaving(this->reader->leaving_so_far(),
-                                             this->replica.term(), this->time);
+        changes = this->listing.apply_leaving(this->reader->leaving_so_far(),
+                                              this->replica.term(), this->time);
     }
     if (!changes.has_value())
     {
         return;
     }
-    this->listing_told_at = this->time;
-    this->note_listing(*changes);
+    this->listing_sent_at = this->time;
+    this->record_listing_change(*changes);
     link::upstream_update const update{std::move(*changes)};
     for (auto const& [number, peer] : this->links)
     {
@@ -247,15 +250,16 @@
     }
 }
 
-void control_reducer::on(list_call_failed const& what)
+void control_reducer::on(list_call_failed const& event)
 {
     if (this->reader.has_value())
     {
-        this->reader->call_failed(what.number, this->time);
+        this->reader->call_failed(event.number, this->time);
     }
 }
 
-void control_reducer::note_listing(discovery::list_changes const& changes)
+void control_reducer::record_listing_change(
+    discovery::list_changes const& changes)
 {
     this->effects.emplace_back(listing_changed{
         changes.target, changes.put.size(), changes.removed.size(),
@@ -263,41 +267,41 @@
 }
 
 void control_reducer::on_peer(link::link_number from,
-                              link::upstream_update const& said)
+                              link::upstream_update const& message)
 {
-    switch (this->listing.take(said.changes, this->time))
+    switch (this->listing.apply(message.changes, this->time))
     {
-    case discovery::take_result::taken:
-        this->note_listing(said.changes);
+    case discovery::apply_result::applied:
+        this->record_listing_change(message.changes);
         return;
-    case discovery::take_result::other_base:
+    case discovery::apply_result::base_mismatch:
         this->send(from, link::upstream_request{this->listing.position()});
         return;
-    case discovery::take_result::not_newer:
+    case discovery::apply_result::not_newer:
         return;
     }
 }
 
 void control_reducer::on_peer(link::link_number from,
-                              link::upstream_request const& said)
+                              link::upstream_request const& message)
 {
-    if (said.held < this->listing.position())
+    if (message.held < this->listing.position())
     {
-        this->send(from,
-                   link::upstream_update{this->listing.whole(this->time)});
+        this->send(from, link::upstream_update{
+                             this->listing.full_listing(this->time)});
     }
 }
 
-void control_reducer::ask_for_listing()
+void control_reducer::request_listing()
 {
     bool const is_due =
-        this->reader.has_value() &&
-        this->time - this->listing_asked_at >= this->settings.listing_refresh;
+        this->reader.has_value() && this->time - this->listing_requested_at >=
+                                        this->settings.listing_refresh;
     std::map<host_id, link::link_number>::const_iterator const leader =
         this->control_links.find(this->replica.leader());
     if (is_due && leader != this->control_links.end())
     {
-        this->listing_asked_at = this->time;
+        this->listing_requested_at = this->time;
         this->send(leader->second,
                    link::upstream_request{this->listing.position()});
     }
--- a/bilberrylead/control/control_reducer_log.cpp
+++ b/bilberrylead/control/control_reducer_log.cpp
@@ -19,14 +19,15 @@
     {
         std::vector<agreement::event> const events =
             std::exchange(this->replica_events, {});
-        std::vector<agreement::effect> const wanted = this->replica.reduce(
-            std::span<agreement::event const>(events), this->time);
-        for (agreement::effect const& effect : wanted)
+        std::vector<agreement::effect> const replica_effects =
+            this->replica.reduce(std::span<agreement::event const>(events),
+                                 this->time);
+        for (agreement::effect const& effect : replica_effects)
         {
             std::visit(
-                [this](auto const& what)
+                [this](auto const& typed_effect)
                 {
-                    this->carry_out(what);
+                    this->carry_out(typed_effect);
                 },
                 effect);
         }
@@ -104,21 +105,22 @@
 
 void control_reducer::carry_out(agreement::proposal_accepted const& effect)
 {
-    waiter const who = this->open.take(effect.token);
-    if (operator_waits const* const held = std::get_if<operator_waits>(&who))
+    waiter const requester = this->pending.remove(effect.token);
+    if (waiting_operator const* const by_operator =
+            std::get_if<waiting_operator>(&requester))
     {
-        this->answer_accepted(*held, effect.index);
+        this->answer_accepted(*by_operator, effect.index);
     }
-    else if (entry_host_waits const* const waits =
-                 std::get_if<entry_host_waits>(&who))
+    else if (waiting_entry_host const* const by_entry_host =
+                 std::get_if<waiting_entry_host>(&requester))
     {
-        this->answer_accepted(*waits, effect.index);
+        this->answer_accepted(*by_entry_host, effect.index);
     }
 }
 
 void control_reducer::carry_out(agreement::proposal_refused const& effect)
 {
-    this->refuse(this->open.take(effect.token),
+    this->refuse(this->pending.remove(effect.token),
                  refusal_status(effect.reason, effect.leader), effect.leader);
 }
 
@@ -126,7 +128,7 @@
     agreement::proposal_outcome_unknown const& effect)
 {
     this->refuse(
-        this->open.take(effect.token),
+        this->pending.remove(effect.token),
         make_error(error_kind::timeout,
                    "The leader lost its office with the change on its way.",
                    "Send it again with the same change id to learn what "
@@ -136,42 +138,46 @@
 
 void control_reducer::carry_out(agreement::read_ready const& effect)
 {
-    waiter const who = this->open.take(effect.token);
-    operator_waits const* const held = std::get_if<operator_waits>(&who);
-    if (held == nullptr)
+    waiter const requester = this->pending.remove(effect.token);
+    waiting_operator const* const by_operator =
+        std::get_if<waiting_operator>(&requester);
+    if (by_operator == nullptr)
     {
         return;
     }
-    if (this->open_reads.contains(held->number))
+    if (this->pending_reads.contains(by_operator->number))
     {
-        revision const wanted = this->open_reads.at(held->number).wanted;
-        this->open_reads.erase(held->number);
-        this->answer(held->number, this->configuration_of(wanted));
+        revision const wanted =
+            this->pending_reads.at(by_operator->number).wanted;
+        this->pending_reads.erase(by_operator->number);
+        this->answer(by_operator->number, this->configuration_of(wanted));
     }
-    else if (this->open_order_reads.erase(held->number) > 0)
+    else if (this->pending_order_reads.erase(by_operator->number) > 0)
     {
         catalog::accepted_orders const& orders = this->replicated.orders();
-        this->answer(held->number,
+        this->answer(by_operator->number,
                      orders_reply{orders.version(), orders.document()});
     }
-    else if (this->open_audits.contains(held->number))
+    else if (this->pending_audits.contains(by_operator->number))
     {
-        std::size_t const most = this->open_audits.at(held->number);
-        this->open_audits.erase(held->number);
-        this->answer(held->number, this->newest_audit(most));
+        std::size_t const max_entries =
+            this->pending_audits.at(by_operator->number);
+        this->pending_audits.erase(by_operator->number);
+        this->answer(by_operator->number, this->newest_audit(max_entries));
     }
 }
 
 void control_reducer::carry_out(agreement::read_refused const& effect)
 {
-    waiter const who = this->open.take(effect.token);
-    if (operator_waits const* const held = std::get_if<operator_waits>(&who))
+    waiter const requester = this->pending.remove(effect.token);
+    if (waiting_operator const* const by_operator =
+            std::get_if<waiting_operator>(&requester))
     {
-        this->open_reads.erase(held->number);
-        this->open_audits.erase(held->number);
-        this->open_order_reads.erase(held->number);
+        this->pending_reads.erase(by_operator->number);
+        this->pending_audits.erase(by_operator->number);
+        this->pending_order_reads.erase(by_operator->number);
     }
-    this->refuse(who, not_leader(effect.leader), effect.leader);
+    this->refuse(requester, not_leader(effect.leader), effect.leader);
 }
 
 void control_reducer::carry_out(agreement::role_changed const& effect)
@@ -182,7 +188,7 @@
         return;
     }
     this->known_leader = effect.leader;
-    this->leads_since = this->time;
+    this->leader_since = this->time;
     for (std::pair<link::link_number const, link::peer_identity> const& row :
          this->links)
     {
@@ -199,11 +205,11 @@
         effect.index, this->replicated.encode_snapshot()});
 }
 
-void control_reducer::propose(waiter who,
+void control_reducer::propose(waiter requester,
                               catalog::replicated_command const& command)
 {
     this->replica_events.emplace_back(agreement::propose{
-        this->open.add(who), catalog::encode_command(command)});
+        this->pending.add(requester), catalog::encode_command(command)});
 }
 
 void control_reducer::publish()
@@ -215,7 +221,7 @@
         this->effects.emplace_back(
             orders_changed{orders.current_revision(), orders.version(),
                            orders.closed_zones().size()});
-        this->exchange_event(distribution::published{
+        this->exchange_event(distribution::revision_published{
             orders.current_revision(),
             std::make_shared<bytes const>(orders.encode())});
         return;
@@ -224,12 +230,12 @@
         this->replicated.configurations().current();
     if (current != nullptr)
     {
-        this->exchange_event(distribution::published{
+        this->exchange_event(distribution::revision_published{
             current->number, std::make_shared<bytes const>(current->document)});
     }
 }
 
-void control_reducer::answer_accepted(entry_host_waits const& who,
+void control_reducer::answer_accepted(waiting_entry_host const& requester,
                                       std::uint64_t index)
 {
     auto const found = this->outcomes.find(index);
@@ -240,31 +246,35 @@
     if (once::claim_verdict const* verdict =
             std::get_if<once::claim_verdict>(&found->second))
     {
-        this->send(who.link, link::claim_reply{who.number, *verdict});
+        this->send(requester.link,
+                   link::claim_reply{requester.number, *verdict});
     }
     else if (once::settle_result const* settled =
                  std::get_if<once::settle_result>(&found->second))
     {
-        this->send(who.link, link::settle_reply{who.number, *settled});
+        this->send(requester.link,
+                   link::settle_reply{requester.number, *settled});
     }
     else if (once::registration const* registered =
                  std::get_if<once::registration>(&found->second))
     {
-        this->send(who.link, link::registration_reply{*registered});
+        this->send(requester.link, link::registration_reply{*registered});
     }
 }
 
-void control_reducer::refuse(waiter const& who, absl::Status const& why,
-                             host_id const& leader)
+void control_reducer::refuse(waiter const& requester,
+                             absl::Status const& reason, host_id const& leader)
 {
-    if (operator_waits const* const held = std::get_if<operator_waits>(&who))
+    if (waiting_operator const* const by_operator =
+            std::get_if<waiting_operator>(&requester))
     {
-        this->answer(held->number, why);
+        this->answer(by_operator->number, reason);
     }
-    else if (entry_host_waits const* const waits =
-                 std::get_if<entry_host_waits>(&who))
+    else if (waiting_entry_host const* const by_entry_host =
+                 std::get_if<waiting_entry_host>(&requester))
     {
-        this->send(waits->link, link::leader_notice{leader, waits->number});
+        this->send(by_entry_host->link,
+                   link::leader_notice{leader, by_entry_host->number});
     }
 }
 
--- a/bilberrylead/control/control_reducer_operators.cpp
+++ b/bilberrylead/control/control_reducer_operators.cpp
@@ -10,76 +10,79 @@
 namespace bilberrylead::control
 {
 
-void control_reducer::ask(operator_asked const& asked,
-                          submit_change const& request)
+void control_reducer::handle_request(operator_request_received const& received,
+                                     submit_change const& request)
 {
     catalog::change_command change = request.change;
-    change.accepted_at = asked.asked_at;
-    this->propose(operator_waits{asked.number}, change);
+    change.accepted_at = received.received_at;
+    this->propose(waiting_operator{received.number}, change);
 }
 
-void control_reducer::ask(operator_asked const& asked,
-                          read_configuration const& request)
+void control_reducer::handle_request(operator_request_received const& received,
+                                     read_configuration const& request)
 {
-    if (request.may_be_stale)
+    if (request.allow_stale)
     {
-        this->answer(asked.number, this->configuration_of(request.wanted));
+        this->answer(received.number, this->configuration_of(request.wanted));
         return;
     }
-    this->open_reads[asked.number] = request;
+    this->pending_reads[received.number] = request;
     this->replica_events.emplace_back(agreement::read_requested{
-        this->open.add(operator_waits{asked.number})});
+        this->pending.add(waiting_operator{received.number})});
 }
 
-void control_reducer::ask(operator_asked const& asked,
-                          read_audit const& request)
+void control_reducer::handle_request(operator_request_received const& received,
+                                     read_audit const& request)
 {
-    this->open_audits[asked.number] = request.most;
+    this->pending_audits[received.number] = request.max_entries;
     this->replica_events.emplace_back(agreement::read_requested{
-        this->open.add(operator_waits{asked.number})});
+        this->pending.add(waiting_operator{received.number})});
 }
 
-void control_reducer::ask(operator_asked const& asked, read_status const&)
+void control_reducer::handle_request(operator_request_received const& received,
+                                     read_status const&)
 {
-    this->answer(asked.number, this->status());
+    this->answer(received.number, this->status());
 }
 
-void control_reducer::ask(operator_asked const& asked,
-                          change_membership const& request)
+void control_reducer::handle_request(operator_request_received const& received,
+                                     change_membership const& request)
 {
     agreement::membership_change_requested change = request.request;
-    change.token = this->open.add(operator_waits{asked.number});
+    change.token = this->pending.add(waiting_operator{received.number});
     this->replica_events.emplace_back(std::move(change));
 }
 
-void control_reducer::ask(operator_asked const& asked, hand_over const&)
+void control_reducer::handle_request(operator_request_received const& received,
+                                     hand_over const&)
 {
     if (this->replica.role() != agreement::role::leader)
     {
-        this->answer(asked.number, not_leader(this->replica.leader()));
+        this->answer(received.number, not_leader(this->replica.leader()));
         return;
     }
     this->replica_events.emplace_back(agreement::handover_requested{});
-    this->answer(asked.number, done_reply{});
+    this->answer(received.number, done_reply{});
 }
 
-void control_reducer::ask(operator_asked const& asked,
-                          submit_orders const& request)
+void control_reducer::handle_request(operator_request_received const& received,
+                                     submit_orders const& request)
 {
-    this->propose(operator_waits{asked.number}, request.order);
+    this->propose(waiting_operator{received.number}, request.order);
 }
 
-void control_reducer::ask(operator_asked const& asked,
-                          submit_zone_order const& request)
+void control_reducer::handle_request(operator_request_received const& received,
+                                     submit_zone_order const& request)
 {
-    this->propose(operator_waits{asked.number}, request.order);
+    this->propose(waiting_operator{received.number}, request.order);
 }
 
-void control_reducer::ask(operator_asked const& asked, read_orders const&)
+void control_reducer::handle_request(operator_request_received const& received,
+                                     read_orders const&)
 {
-    this->open_order_reads.insert(asked.number);
+    this->pending_order_reads.insert(received.number);
     this->replica_events.emplace_back(agreement::read_requested{
-        this->open.add(operator_waits{asked.number})});
+        this->pending.add(waiting_operator{received.number})});
 }
 
 void control_reducer::answer(std::uint64_t number, operator_reply reply)
@@ -88,30 +91,30 @@
         answer_operator{number, std::move(reply), this->replica.leader()});
 }
 
-void control_reducer::answer_accepted(operator_waits const& who,
+void control_reducer::answer_accepted(waiting_operator const& requester,
                                       std::uint64_t index)
 {
     auto const found = this->outcomes.find(index);
     if (found == this->outcomes.end())
     {
         // A change of membership has no outcome of its own.
-        this->answer(who.number, done_reply{});
+        this->answer(requester.number, done_reply{});
         return;
     }
-    if (catalog::change_outcome const* const held =
+    if (catalog::change_outcome const* const change =
             std::get_if<catalog::change_outcome>(&found->second))
     {
-        this->answer(who.number, *held);
+        this->answer(requester.number, *change);
     }
-    else if (catalog::order_outcome const* const taken =
+    else if (catalog::order_outcome const* const order =
                  std::get_if<catalog::order_outcome>(&found->second))
     {
-        this->answer(who.number, *taken);
+        this->answer(requester.number, *order);
     }
     else if (absl::Status const* const failed =
                  std::get_if<absl::Status>(&found->second))
     {
-        this->answer(who.number, *failed);
+        this->answer(requester.number, *failed);
     }
 }
 
@@ -127,11 +130,11 @@
     return {found->number, found->document};
 }
 
-audit_reply control_reducer::newest_audit(std::size_t most) const
+audit_reply control_reducer::newest_audit(std::size_t max_entries) const
 {
     std::deque<catalog::audit_entry> const& trail =
         this->replicated.configurations().audit_trail();
-    std::size_t const count = std::min(most, trail.size());
+    std::size_t const count = std::min(max_entries, trail.size());
     return {std::vector<catalog::audit_entry>(
         trail.rbegin(), trail.rbegin() + static_cast<std::ptrdiff_t>(count))};
 }
@@ -148,7 +151,7 @@
     reply.last_index = this->replica.last_index();
     reply.accepted = this->replicated.configurations().current_revision();
     reply.members = this->replica.membership();
-    reply.entry_hosts = this->exchange.peers_in_force();
+    reply.entry_hosts = this->exchange.peer_revisions();
     reply.claims = this->replicated.claims().size();
     return reply;
 }
--- a/bilberrylead/control/control_reducer_regions.cpp
+++ b/bilberrylead/control/control_reducer_regions.cpp
@@ -14,46 +14,47 @@
 {
 
 /// Demand and room of every service, by region.
-class region_picture
+class region_load_table
 {
 public:
-    explicit region_picture(std::vector<config::place> const& places)
+    explicit region_load_table(std::vector<config::place> const& places)
     {
         for (config::place const& place : places)
         {
             this->region_of[place.zone] = place.region;
-            this->numbers.try_emplace(place.region, this->numbers.size());
+            this->region_indexes.try_emplace(place.region,
+                                             this->region_indexes.size());
         }
     }
 
     void add_upstream(config::upstream const& upstream)
     {
-        policy::region_room* const room =
-            this->room(upstream.service, this->region_of[upstream.zone]);
-        if (room != nullptr)
+        policy::region_room* const capacity =
+            this->capacity_of(upstream.service, this->region_of[upstream.zone]);
+        if (capacity != nullptr)
         {
-            room->slots += upstream.slots;
+            capacity->slots += upstream.slots;
         }
     }
 
-    void add_entry_host(link::entry_presence const& said)
+    void add_entry_host(link::entry_presence const& message)
     {
-        auto const number = this->numbers.find(said.region);
-        if (number == this->numbers.end())
+        auto const index = this->region_indexes.find(message.region);
+        if (index == this->region_indexes.end())
         {
             return;
         }
-        for (auto& [service, rooms] : this->services)
+        for (auto& [service, by_region] : this->services)
         {
-            rooms[number->second].entry_hosts += 1;
+            by_region[index->second].entry_hosts += 1;
         }
-        for (link::service_demand const& demand : said.demands)
+        for (link::service_demand const& demand : message.demands)
         {
-            policy::region_room* const room =
-                this->room(demand.service, said.region);
-            if (room != nullptr)
+            policy::region_room* const capacity =
+                this->capacity_of(demand.service, message.region);
+            if (capacity != nullptr)
             {
-                room->demand += link::from_thousandths(demand.slots);
+                capacity->demand += link::from_thousandths(demand.slots);
             }
         }
     }
@@ -63,47 +64,48 @@
     plans(policy::region_plan_settings const& settings,
           std::uint64_t term) const
     {
-        std::map<region_id, link::region_plan> made;
-        for (auto const& [home, row] : this->numbers)
+        std::map<region_id, link::region_plan> plans;
+        for (auto const& [origin, row] : this->region_indexes)
         {
-            made[home].term = term;
+            plans[origin].term = term;
         }
-        for (auto const& [service, rooms] : this->services)
+        for (auto const& [service, by_region] : this->services)
         {
             std::vector<std::vector<double>> const shares =
-                policy::plan_regions(rooms, settings);
-            for (auto const& [home, row] : this->numbers)
+                policy::plan_regions(by_region, settings);
+            for (auto const& [origin, row] : this->region_indexes)
             {
-                for (auto const& [region, place] : this->numbers)
+                for (auto const& [region, column] : this->region_indexes)
                 {
                     std::uint32_t const rounded =
-                        link::to_thousandths(shares[row][place]);
+                        link::to_thousandths(shares[row][column]);
                     if (rounded > 0)
                     {
-                        made[home].shares.push_back({service, region, rounded});
+                        plans[origin].shares.push_back(
+                            {service, region, rounded});
                     }
                 }
             }
         }
-        return made;
+        return plans;
     }
 
 private:
-    policy::region_room* room(service_id const& service,
-                              region_id const& region)
+    policy::region_room* capacity_of(service_id const& service,
+                                     region_id const& region)
     {
-        auto const number = this->numbers.find(region);
-        if (number == this->numbers.end())
+        auto const index = this->region_indexes.find(region);
+        if (index == this->region_indexes.end())
         {
             return nullptr;
         }
-        std::vector<policy::region_room>& rooms = this->services[service];
-        rooms.resize(this->numbers.size());
-        return &rooms[number->second];
+        std::vector<policy::region_room>& by_region = this->services[service];
+        by_region.resize(this->region_indexes.size());
+        return &by_region[index->second];
     }
 
     std::map<zone_id, region_id> region_of;
-    std::map<region_id, std::size_t> numbers;
+    std::map<region_id, std::size_t> region_indexes;
     std::map<service_id, std::vector<policy::region_room>> services;
 };
 
@@ -114,28 +116,29 @@
     bool const is_due =
         !this->settings.places.empty() &&
         this->replica.role() == agreement::role::leader &&
-        this->time - this->leads_since >= this->settings.region_grace &&
-        this->time - this->regions_planned_at >= this->settings.region_interval;
+        this->time - this->leader_since >= this->settings.region_plan_delay &&
+        this->time - this->regions_planned_at >=
+            this->settings.region_plan_interval;
     if (!is_due)
     {
         return;
     }
     this->regions_planned_at = this->time;
-    region_picture picture(this->settings.places);
+    region_load_table load_table(this->settings.places);
     std::set<zone_id> const& closed = this->replicated.orders().closed_zones();
     for (auto const& [id, entry] : this->listing.upstreams())
     {
         if (!entry.upstream.leaving && !closed.contains(entry.upstream.zone))
         {
-            picture.add_upstream(entry.upstream);
+            load_table.add_upstream(entry.upstream);
         }
     }
     for (auto const& [host, row] : this->entry_hosts.hosts())
     {
-        picture.add_entry_host(row.said);
+        load_table.add_entry_host(row.heartbeat);
     }
     std::map<region_id, link::region_plan> const plans =
-        picture.plans(this->settings.regions, this->replica.term());
+        load_table.plans(this->settings.regions, this->replica.term());
     auto const plan_of = [this, &plans](region_id const& region)
     {
         auto const plan = plans.find(region);
@@ -143,25 +146,25 @@
                    ? plan->second
                    : link::region_plan{this->replica.term(), {}};
     };
-    this->held_plan = plan_of(this->settings.region);
+    this->current_plan = plan_of(this->settings.region);
     for (auto const& [host, row] : this->entry_hosts.hosts())
     {
-        this->send(row.link, plan_of(row.said.region));
+        this->send(row.link, plan_of(row.heartbeat.region));
     }
     for (auto const& [host, number] : this->control_links)
     {
-        this->send(number, plan_of(this->placed(host).region));
+        this->send(number, plan_of(this->group_host_of(host).region));
     }
 }
 
 void control_reducer::on_peer(link::link_number from,
-                              link::region_plan const& said)
+                              link::region_plan const& message)
 {
-    bool const is_newer =
-        !this->held_plan.has_value() || said.term >= this->held_plan->term;
+    bool const is_newer = !this->current_plan.has_value() ||
+                          message.term >= this->current_plan->term;
     if (this->links.at(from).role == link::peer_role::control && is_newer)
     {
-        this->held_plan = said;
+        this->current_plan = message;
     }
 }
 
--- a/bilberrylead/control/control_reducer_relay.cpp
+++ b/bilberrylead/control/control_reducer_relay.cpp
@@ -9,7 +9,7 @@
 namespace bilberrylead::control
 {
 
-void control_reducer::tell_crashes(link::link_number to)
+void control_reducer::send_crash_records(link::link_number to)
 {
     if (this->crashes.size() > 0)
     {
@@ -18,10 +18,10 @@
 }
 
 void control_reducer::on_peer(link::link_number from,
-                              link::crash_report const& said)
+                              link::crash_report const& message)
 {
     policy::crash_merge const merged =
-        this->crashes.merge(said.records, this->time);
+        this->crashes.merge(message.records, this->time);
     if (!merged.missing_there.empty())
     {
         this->send(from, link::crash_report{merged.missing_there});
@@ -39,8 +39,8 @@
     }
 }
 
-void control_reducer::ask(operator_asked const& asked,
-                          read_crash_records const&)
+void control_reducer::handle_request(operator_request_received const& received,
+                                     read_crash_records const&)
 {
     crash_records_reply reply;
     for (policy::crash_record& record : this->crashes.all())
@@ -48,17 +48,17 @@
         policy::crash_verdict const verdict = this->crashes.verdict_of(record);
         reply.rows.push_back({std::move(record), verdict});
     }
-    this->answer(asked.number, std::move(reply));
+    this->answer(received.number, std::move(reply));
 }
 
-void control_reducer::ask(operator_asked const& asked,
-                          lift_crash_record const& request)
+void control_reducer::handle_request(operator_request_received const& received,
+                                     lift_crash_record const& request)
 {
     std::optional<policy::crash_record> const cleared =
         this->crashes.clear(request.digest, this->time);
     if (!cleared.has_value())
     {
-        this->answer(asked.number,
+        this->answer(received.number,
                      make_error(error_kind::unknown_name,
                                 "No upstream ended under such a request.",
                                 "Take the digest from bilberryctl crashes."));
@@ -70,11 +70,11 @@
     {
         this->send(number, link::crash_report{{*cleared}});
     }
-    this->answer(asked.number, done_reply{});
+    this->answer(received.number, done_reply{});
 }
 
 void control_reducer::on_peer(link::link_number from,
-                              link::limit_notice const& said)
+                              link::limit_notice const& message)
 {
     bool const from_entry = this->links.at(from).role == link::peer_role::entry;
     for (auto const& [number, peer] : this->links)
@@ -82,7 +82,7 @@
         bool const is_entry = peer.role == link::peer_role::entry;
         if (number != from && (from_entry || is_entry))
         {
-            this->send(number, said);
+            this->send(number, message);
         }
     }
 }
--- a/bilberrylead/control/control_reducer_settings.hpp
+++ b/bilberrylead/control/control_reducer_settings.hpp
@@ -45,7 +45,7 @@
     /// How often the leader looks at the membership. A change takes a quorum
     /// round trip between regions (70 ms) and syncs, so that every second
     /// look finds the last one settled.
-    duration plan_interval = std::chrono::milliseconds(150);
+    duration membership_plan_interval = std::chrono::milliseconds(150);
     /// How the list of upstreams is read; nothing if the configuration
     /// names them.
     std::optional<discovery::list_reader_settings> list;
@@ -61,10 +61,10 @@
     /// A new leader plans no regions before this: entry hosts link to it
     /// once they hear of it, and by the demand of the first few alone
     /// callers of whole regions would be moved.
-    duration region_grace = std::chrono::milliseconds(1500);
+    duration region_plan_delay = std::chrono::milliseconds(1500);
     /// How often the leader plans regions. Demands come with heartbeats, two
     /// a second.
-    duration region_interval = std::chrono::seconds(1);
+    duration region_plan_interval = std::chrono::seconds(1);
     /// The zones and their regions; empty: nothing is planned.
     std::vector<config::place> places;
     /// How entry hosts are heard and named.
--- a/bilberrylead/control/operator_request.hpp
+++ b/bilberrylead/control/operator_request.hpp
@@ -25,14 +25,14 @@
     /// The revision that is wanted, 0 for the newest.
     revision wanted = 0;
     /// True to take what this host knows, without asking a quorum.
-    bool may_be_stale = false;
+    bool allow_stale = false;
 };
 
 /// Read the audit trail, the newest entries first.
 struct read_audit
 {
     /// Most entries to give, over 0.
-    std::size_t most = 100;
+    std::size_t max_entries = 100;
 };
 
 /// Read what this host knows of itself and its peers. Needs no quorum.
--- a/bilberrylead/control/open_requests.hpp
+++ b/bilberrylead/control/pending_requests.hpp
@@ -1,5 +1,5 @@
-#ifndef BILBERRYLEAD_CONTROL_OPEN_REQUESTS_HPP
-#define BILBERRYLEAD_CONTROL_OPEN_REQUESTS_HPP
+#ifndef BILBERRYLEAD_CONTROL_PENDING_REQUESTS_HPP
+#define BILBERRYLEAD_CONTROL_PENDING_REQUESTS_HPP
 
 #include "bilberrylead/link/peer_callbacks.hpp"
 
@@ -12,14 +12,14 @@
 {
 
 /// An operator waits for the answer.
-struct operator_waits
+struct waiting_operator
 {
     /// The request's number.
     std::uint64_t number = 0;
 };
 
 /// An entry host waits for the verdict on its claim or report.
-struct entry_host_waits
+struct waiting_entry_host
 {
     /// Over which link the request came.
     link::link_number link = 0;
@@ -28,22 +28,22 @@
 };
 
 /// Nobody waits: the leader's own proposal.
-struct nobody_waits
+struct no_waiter
 {
 };
 
 /// Who waits for the outcome of a proposal or read.
-using waiter = std::variant<nobody_waits, operator_waits, entry_host_waits>;
+using waiter = std::variant<no_waiter, waiting_operator, waiting_entry_host>;
 
 /// Tokens of proposals and reads that are open, and who waits for each.
-class open_requests
+class pending_requests
 {
 public:
     /// Gives out a new token for a waiter.
-    std::uint64_t add(waiter who);
+    std::uint64_t add(waiter requester);
 
     /// Ends a token and tells who waited; nobody for an unknown one.
-    waiter take(std::uint64_t token);
+    waiter remove(std::uint64_t token);
 
 private:
     std::uint64_t last_token = 0;
--- a/bilberrylead/daemon/control_adapter.hpp
+++ b/bilberrylead/daemon/control_adapter.hpp
@@ -7,7 +7,7 @@
 #include "bilberrylead/discovery/list_page.hpp"
 #include "bilberrylead/discovery/page_call.hpp"
 #include "bilberrylead/link/http_endpoint.hpp"
-#include "bilberrylead/presence/steering_question.hpp"
+#include "bilberrylead/presence/steering_query.hpp"
 #include "bilberrylead/presence/steering_reply.hpp"
 
 #include <absl/status/statusor.h>
@@ -37,7 +37,7 @@
         } -> std::same_as<link::http_answer>;
         {
             Adapter::read_steering_question(request)
-        } -> std::same_as<absl::StatusOr<presence::steering_question>>;
+        } -> std::same_as<absl::StatusOr<presence::steering_query>>;
         {
             Adapter::write_steering_reply(steering)
         } -> std::same_as<link::http_answer>;
@@ -59,7 +59,7 @@
         link::http_request const& request, control::operator_reply const& reply,
         std::optional<config::endpoint> const& leader);
     /// Reads a caller's question.
-    absl::StatusOr<presence::steering_question> (*read_steering_question)(
+    absl::StatusOr<presence::steering_query> (*read_steering_question)(
         link::http_request const& request);
     /// Writes the answer to it.
     link::http_answer (*write_steering_reply)(
--- a/bilberrylead/daemon/control_program.cpp
+++ b/bilberrylead/daemon/control_program.cpp
@@ -152,7 +152,7 @@
     {
         link::upstream_update* const update =
             std::get_if<link::upstream_update>(&*listing);
-        if (update != nullptr && update->changes.whole)
+        if (update != nullptr && update->changes.is_full)
         {
             event.listing = std::move(update->changes);
         }
@@ -179,7 +179,8 @@
     if (this->listing_memory->wants_message(now))
     {
         this->listing_memory->remember(
-            link::upstream_update{this->reducer->upstreams().whole(now)}, now);
+            link::upstream_update{this->reducer->upstreams().full_listing(now)},
+            now);
     }
     if (this->reducer->plan() != this->told_plan)
     {
@@ -199,7 +200,7 @@
     wanted.incarnation = this->store->incarnation();
     wanted.zone = this->settings.zone;
     wanted.region = this->settings.region;
-    wanted.entries.longest_ttl = this->settings.steering_ttl;
+    wanted.entries.max_ttl = this->settings.steering_ttl;
     wanted.places = this->settings.places;
     if (this->forms_itself())
     {
@@ -476,7 +477,7 @@
                 return;
             }
             ++this->last_request;
-            this->take(control::operator_asked{
+            this->take(control::operator_request_received{
                 this->last_request, control::hand_over{}, wall_clock_now()});
             this->stop_when_handed_over(clock_now() + handover_patience);
         });
--- a/bilberrylead/daemon/control_program_outside.cpp
+++ b/bilberrylead/daemon/control_program_outside.cpp
@@ -113,7 +113,7 @@
     link::http_request const& request,
     link::http_endpoint::answer_function const& answer)
 {
-    absl::StatusOr<presence::steering_question> const asked =
+    absl::StatusOr<presence::steering_query> const asked =
         this->adapter.read_steering_question(request);
     if (!asked.ok())
     {
@@ -169,7 +169,7 @@
                             "read and are passed over.",
                             page->unreadable);
             }
-            this->take(control::list_page_came{number, *std::move(page)});
+            this->take(control::list_page_received{number, *std::move(page)});
         });
 }
 
@@ -210,8 +210,8 @@
     ++this->last_request;
     this->waiting.emplace(this->last_request,
                           open_operator_call{request, std::move(answer)});
-    this->take(control::operator_asked{this->last_request, std::move(*asked),
-                                       wall_clock_now()});
+    this->take(control::operator_request_received{
+        this->last_request, std::move(*asked), wall_clock_now()});
 }
 
 void control_program::implementation::found(
--- a/bilberrylead/daemon/entry_program_peers.cpp
+++ b/bilberrylead/daemon/entry_program_peers.cpp
@@ -73,7 +73,7 @@
 {
     this->on_exchange(distribution::link_closed{number});
     this->heard_entry_hosts.erase(number);
-    this->control_links.closed(number);
+    this->control_links.link_closed(number);
     this->link_control_hosts();
     if (this->links.at(number).role == link::peer_role::control)
     {
@@ -107,8 +107,8 @@
 
         void operator()(link::leader_notice const& held) const
         {
-            this->owner.control_links.leader_named(this->number, held.leader,
-                                                   clock_now());
+            this->owner.control_links.leader_received(this->number, held.leader,
+                                                      clock_now());
             this->owner.link_control_hosts();
             this->owner.on_claims(
                 once_client::leader_named{this->number, held});
@@ -220,7 +220,7 @@
 void entry_program::implementation::on_group(link::link_number number,
                                              link::group_news const& said)
 {
-    this->control_links.named(number, said.control_hosts);
+    this->control_links.group_received(number, said.control_hosts);
     this->link_control_hosts();
 
     // The largest number that any control host hears: too small a share is
@@ -257,7 +257,7 @@
                                    "called."
                                  : "A leader is known again.");
     }
-    std::set<host_id> wanted = this->control_links.wanted(now);
+    std::set<host_id> wanted = this->control_links.desired_links(now);
     if (wanted != this->linked_control_hosts)
     {
         this->linked_control_hosts = std::move(wanted);
@@ -317,13 +317,13 @@
 void entry_program::implementation::on_listing(
     link::link_number number, link::upstream_update const& said)
 {
-    discovery::take_result const result =
-        this->listing.take(said.changes, clock_now());
-    if (result == discovery::take_result::other_base)
+    discovery::apply_result const result =
+        this->listing.apply(said.changes, clock_now());
+    if (result == discovery::apply_result::base_mismatch)
     {
         this->send(number, link::upstream_request{this->listing.position()});
     }
-    if (result != discovery::take_result::taken)
+    if (result != discovery::apply_result::applied)
     {
         return;
     }
--- a/bilberrylead/daemon/own_control_adapter.cpp
+++ b/bilberrylead/daemon/own_control_adapter.cpp
@@ -18,9 +18,9 @@
 using json = nlohmann::json;
 
 /// One upstream of a page; nothing if a field is missing or of another type.
-std::optional<discovery::told_upstream> read_upstream(json const& entry)
+std::optional<discovery::reported_upstream> read_upstream(json const& entry)
 {
-    discovery::told_upstream told;
+    discovery::reported_upstream told;
     config::upstream& upstream = told.upstream;
     bool const texts = entry.is_object() && entry.contains("name") &&
                        entry["name"].is_string() && entry.contains("service") &&
@@ -48,7 +48,7 @@
     upstream.address = *address;
     upstream.slots = slots.get<std::uint32_t>();
     upstream.leaving = leaving.get<bool>();
-    told.cold_left = std::chrono::milliseconds(cold.get<std::uint32_t>());
+    told.cold_remaining = std::chrono::milliseconds(cold.get<std::uint32_t>());
     return told;
 }
 
@@ -68,7 +68,7 @@
     return daemon::write_operator_reply(reply);
 }
 
-absl::StatusOr<presence::steering_question>
+absl::StatusOr<presence::steering_query>
 own_control_adapter::read_steering_question(link::http_request const& request)
 {
     link::query const asked(request.target);
@@ -77,8 +77,8 @@
         return make_error(error_kind::unknown_name, "There is no such page.",
                           "Ask for /steering?region=REGION&zone=ZONE.");
     }
-    return presence::steering_question{region_id(asked.text("region")),
-                                       zone_id(asked.text("zone"))};
+    return presence::steering_query{region_id(asked.text("region")),
+                                    zone_id(asked.text("zone"))};
 }
 
 link::http_answer own_control_adapter::write_steering_reply(
--- a/bilberrylead/daemon/own_control_adapter.hpp
+++ b/bilberrylead/daemon/own_control_adapter.hpp
@@ -20,7 +20,7 @@
                          control::operator_reply const& reply,
                          std::optional<config::endpoint> const& leader);
     /// GET /steering?region=REGION&zone=ZONE
-    static absl::StatusOr<presence::steering_question>
+    static absl::StatusOr<presence::steering_query>
     read_steering_question(link::http_request const& request);
     /// {"entry_hosts": ["192.0.2.1:80"], "ttl_s": 2}
     static link::http_answer
--- a/bilberrylead/discovery/list_changes.hpp
+++ b/bilberrylead/discovery/list_changes.hpp
@@ -12,12 +12,12 @@
 {
 
 /// An upstream as one process tells another of it.
-struct told_upstream
+struct reported_upstream
 {
     /// As listed_upstream has it.
     config::upstream upstream;
     /// How much longer it is cold, when this was sent.
-    duration cold_left{};
+    duration cold_remaining{};
 };
 
 /// Brings a listing: what changed since another one, or all of it.
@@ -28,9 +28,9 @@
     /// The listing that it leads to.
     list_position target;
     /// True if it holds every upstream.
-    bool whole = false;
+    bool is_full = false;
     /// Upstreams that are new or differ.
-    std::vector<told_upstream> put;
+    std::vector<reported_upstream> put;
     /// Upstreams that are listed no more.
     std::vector<upstream_id> removed;
 };
--- a/bilberrylead/discovery/list_page.hpp
+++ b/bilberrylead/discovery/list_page.hpp
@@ -16,14 +16,14 @@
 struct list_page
 {
     /// The upstreams on it that could be read.
-    std::vector<told_upstream> upstreams;
+    std::vector<reported_upstream> upstreams;
     /// Entries that could not be read: they name no upstream to use.
     std::size_t unreadable = 0;
     /// Names the next page; empty on the last one.
     std::string next;
 
     /// Adds an entry; nothing stands for one that could not be read.
-    void add(std::optional<told_upstream> entry)
+    void add(std::optional<reported_upstream> entry)
     {
         if (entry.has_value())
         {
--- a/bilberrylead/discovery/list_part.hpp
+++ b/bilberrylead/discovery/list_part.hpp
@@ -20,9 +20,9 @@
     /// Only upstreams of this zone; empty: all of them.
     zone_id zone;
     /// Number of the call under way; 0 if there is none.
-    std::uint64_t open_call = 0;
+    std::uint64_t pending_call = 0;
     /// When that call was made.
-    instant call_began{};
+    instant call_started_at{};
     /// No call before this.
     instant not_before{};
     /// The page that is asked for next; empty for the first.
@@ -30,34 +30,34 @@
     /// Pages read so far.
     std::size_t pages = 0;
     /// What they had.
-    std::vector<listed_upstream> found;
+    std::vector<listed_upstream> upstreams;
     /// True once the last page is here.
     bool complete = false;
 
     /// True if a call for its next page may be made.
     bool is_due(instant now) const
     {
-        return !this->complete && this->open_call == 0 &&
+        return !this->complete && this->pending_call == 0 &&
                now >= this->not_before;
     }
 
     /// A page came, which names the next one; empty after the last.
-    void advance(std::string const& next, std::size_t most_pages)
+    void advance(std::string const& next, std::size_t max_pages)
     {
-        this->open_call = 0;
+        this->pending_call = 0;
         ++this->pages;
         this->next_page = next;
-        this->complete = next.empty() || this->pages >= most_pages;
+        this->complete = next.empty() || this->pages >= max_pages;
     }
 
     /// Starts from the first page again, no earlier than `when`.
-    void start_again(instant when)
+    void restart(instant when)
     {
-        this->open_call = 0;
+        this->pending_call = 0;
         this->not_before = when;
         this->next_page.clear();
         this->pages = 0;
-        this->found.clear();
+        this->upstreams.clear();
         this->complete = false;
     }
 };
--- a/bilberrylead/discovery/list_reader.cpp
+++ b/bilberrylead/discovery/list_reader.cpp
@@ -8,20 +8,21 @@
 namespace bilberrylead::discovery
 {
 
-list_reader::list_reader(list_reader_settings const& chosen) : settings(chosen)
+list_reader::list_reader(list_reader_settings const& initial_settings)
+    : settings(initial_settings)
 {
-    assert(chosen.calls_per_second > 0 && chosen.share > 0);
+    assert(initial_settings.calls_per_second > 0 && initial_settings.share > 0);
 }
 
-void list_reader::set_active(bool wanted, instant now)
+void list_reader::set_active(bool should_read, instant now)
 {
-    if (wanted == this->active)
+    if (should_read == this->active)
     {
         return;
     }
-    this->active = wanted;
+    this->active = should_read;
     this->next_due = std::max(this->next_due, now);
-    this->survey.reset();
+    this->full_scan.reset();
     this->start_reading(now);
 }
 
@@ -31,7 +32,7 @@
     this->zones_are_known = only_known_zones;
 }
 
-bool list_reader::knows_zone(zone_id const& zone) const
+bool list_reader::has_zone(zone_id const& zone) const
 {
     return std::find(this->settings.zones.begin(), this->settings.zones.end(),
                      zone) != this->settings.zones.end();
@@ -41,7 +42,7 @@
 {
     bool const by_zone = this->zones_are_known &&
                          !this->settings.zones.empty() &&
-                         this->expected >= this->settings.split_from;
+                         this->expected >= this->settings.zone_split_threshold;
     this->parts.assign(by_zone ? this->settings.zones.size() : 1, {});
     for (std::size_t place = 0; place < this->parts.size(); ++place)
     {
@@ -49,42 +50,43 @@
         this->parts[place].zone =
             by_zone ? this->settings.zones[place] : zone_id();
     }
-    bool const wants_survey =
-        (this->readings + 1) % this->settings.survey_each == 0;
+    bool const starts_full_scan = (this->completed_readings + 1) %
+                                      this->settings.readings_per_full_scan ==
+                                  0;
     if (!by_zone)
     {
-        this->survey.reset();
+        this->full_scan.reset();
     }
-    else if (wants_survey && !this->survey.has_value())
+    else if (starts_full_scan && !this->full_scan.has_value())
     {
-        this->survey.emplace();
-        this->survey->not_before = when;
+        this->full_scan.emplace();
+        this->full_scan->not_before = when;
     }
-    this->has_surveyed = false;
+    this->full_scan_has_called = false;
     this->leaving.clear();
-    this->has_begun = false;
+    this->has_started = false;
 }
 
-duration list_reader::spacing() const
+duration list_reader::call_interval() const
 {
     return std::chrono::round<duration>(std::chrono::duration<double>(
         1.0 / (this->settings.calls_per_second * this->settings.share)));
 }
 
-void list_reader::give_up_late_calls(instant now)
+void list_reader::fail_timed_out_calls(instant now)
 {
     instant const oldest = now - this->settings.call_timeout;
     for (list_part const& each : this->parts)
     {
-        if (each.open_call != 0 && each.call_began <= oldest)
+        if (each.pending_call != 0 && each.call_started_at <= oldest)
         {
-            this->call_failed(each.open_call, now);
+            this->call_failed(each.pending_call, now);
         }
     }
-    if (this->survey.has_value() && this->survey->open_call != 0 &&
-        this->survey->call_began <= oldest)
+    if (this->full_scan.has_value() && this->full_scan->pending_call != 0 &&
+        this->full_scan->call_started_at <= oldest)
     {
-        this->call_failed(this->survey->open_call, now);
+        this->call_failed(this->full_scan->pending_call, now);
     }
 }
 
@@ -92,12 +94,12 @@
 /// leaves it no time between them, and besides that what the zones leave.
 list_part* list_reader::due_part(instant now)
 {
-    bool const survey_is_due =
-        this->survey.has_value() && this->survey->is_due(now);
-    if (survey_is_due && !this->has_surveyed)
+    bool const full_scan_is_due =
+        this->full_scan.has_value() && this->full_scan->is_due(now);
+    if (full_scan_is_due && !this->full_scan_has_called)
     {
-        this->has_surveyed = true;
-        return &*this->survey;
+        this->full_scan_has_called = true;
+        return &*this->full_scan;
     }
     auto const part = std::find_if(this->parts.begin(), this->parts.end(),
                                    [now](list_part const& each)
@@ -110,7 +112,7 @@
         std::rotate(part, std::next(part), this->parts.end());
         return &this->parts.back();
     }
-    return survey_is_due ? &*this->survey : nullptr;
+    return full_scan_is_due ? &*this->full_scan : nullptr;
 }
 
 std::optional<page_call> list_reader::next_call(instant now)
@@ -119,7 +121,7 @@
     {
         return std::nullopt;
     }
-    this->give_up_late_calls(now);
+    this->fail_timed_out_calls(now);
     if (now < this->next_due)
     {
         return std::nullopt;
@@ -129,17 +131,18 @@
     {
         return std::nullopt;
     }
-    if (!this->has_begun)
+    if (!this->has_started)
     {
-        this->has_begun = true;
-        this->reading_began = now;
+        this->has_started = true;
+        this->reading_started_at = now;
     }
-    part->open_call = ++this->last_number;
-    part->call_began = now;
-    duration const saved =
-        scaled(this->spacing(), this->settings.most_saved_calls);
-    this->next_due = std::max(this->next_due, now - saved) + this->spacing();
-    return page_call{part->open_call, part->zone, part->next_page};
+    part->pending_call = ++this->last_number;
+    part->call_started_at = now;
+    duration const burst =
+        scaled(this->call_interval(), this->settings.max_burst_calls);
+    this->next_due =
+        std::max(this->next_due, now - burst) + this->call_interval();
+    return page_call{part->pending_call, part->zone, part->next_page};
 }
 
 list_part* list_reader::part_of(std::uint64_t number)
@@ -148,65 +151,66 @@
     {
         return nullptr;
     }
-    if (this->survey.has_value() && this->survey->open_call == number)
+    if (this->full_scan.has_value() && this->full_scan->pending_call == number)
     {
-        return &*this->survey;
+        return &*this->full_scan;
     }
     auto const found = std::find_if(this->parts.begin(), this->parts.end(),
                                     [number](list_part const& each)
                                     {
-                                        return each.open_call == number;
+                                        return each.pending_call == number;
                                     });
     return found == this->parts.end() ? nullptr : &*found;
 }
 
-std::vector<listed_upstream> list_reader::take_all()
+std::vector<listed_upstream> list_reader::collect_upstreams()
 {
-    std::vector<listed_upstream> whole;
+    std::vector<listed_upstream> all_upstreams;
     for (list_part& each : this->parts)
     {
-        std::move(each.found.begin(), each.found.end(),
-                  std::back_inserter(whole));
+        std::move(each.upstreams.begin(), each.upstreams.end(),
+                  std::back_inserter(all_upstreams));
     }
-    return whole;
+    return all_upstreams;
 }
 
-void list_reader::survey_page_read(list_page const& page)
+void list_reader::full_scan_page_received(list_page const& page)
 {
-    this->survey->advance(page.next, this->settings.most_pages);
+    this->full_scan->advance(page.next, this->settings.max_pages);
     bool const is_known =
         std::all_of(page.upstreams.begin(), page.upstreams.end(),
-                    [this](told_upstream const& each)
+                    [this](reported_upstream const& each)
                     {
-                        return this->knows_zone(each.upstream.zone);
+                        return this->has_zone(each.upstream.zone);
                     });
     this->zones_are_known = this->zones_are_known && is_known;
-    if (!is_known || this->survey->complete)
+    if (!is_known || this->full_scan->complete)
     {
-        this->survey.reset();
+        this->full_scan.reset();
     }
 }
 
 std::optional<std::vector<listed_upstream>>
-list_reader::page_read(std::uint64_t number, list_page const& page, instant now)
+list_reader::page_received(std::uint64_t number, list_page const& page,
+                           instant now)
 {
     list_part* const part = this->part_of(number);
     if (part == nullptr)
     {
         return std::nullopt;
     }
-    if (this->survey.has_value() && part == &*this->survey)
+    if (this->full_scan.has_value() && part == &*this->full_scan)
     {
-        this->survey_page_read(page);
+        this->full_scan_page_received(page);
         return std::nullopt;
     }
-    part->advance(page.next, this->settings.most_pages);
-    for (told_upstream const& each : page.upstreams)
+    part->advance(page.next, this->settings.max_pages);
+    for (reported_upstream const& each : page.upstreams)
     {
-        part->found.push_back({each.upstream, now + each.cold_left});
+        part->upstreams.push_back({each.upstream, now + each.cold_remaining});
         if (each.upstream.leaving)
         {
-            this->leaving.push_back(part->found.back());
+            this->leaving.push_back(part->upstreams.back());
         }
     }
     if (!std::all_of(this->parts.begin(), this->parts.end(),
@@ -217,26 +221,26 @@
     {
         return std::nullopt;
     }
-    std::vector<listed_upstream> whole = this->take_all();
-    ++this->readings;
-    this->read_at = now;
+    std::vector<listed_upstream> all_upstreams = this->collect_upstreams();
+    ++this->completed_readings;
+    this->last_read_at = now;
     bool const by_zone = !this->parts.front().zone.empty();
-    this->expected = whole.size();
+    this->expected = all_upstreams.size();
     if (!by_zone)
     {
         // By zone only known ones are seen.
         this->zones_are_known =
-            std::all_of(whole.begin(), whole.end(),
+            std::all_of(all_upstreams.begin(), all_upstreams.end(),
                         [this](listed_upstream const& each)
                         {
-                            return this->knows_zone(each.upstream.zone);
+                            return this->has_zone(each.upstream.zone);
                         });
     }
     duration const period = this->parts.size() > 1
                                 ? this->settings.long_list_period
                                 : this->settings.period;
-    this->start_reading(std::max(now, this->reading_began + period));
-    return whole;
+    this->start_reading(std::max(now, this->reading_started_at + period));
+    return all_upstreams;
 }
 
 void list_reader::call_failed(std::uint64_t number, instant now)
@@ -244,7 +248,7 @@
     list_part* const part = this->part_of(number);
     if (part != nullptr)
     {
-        part->start_again(now + this->settings.failure_pause);
+        part->restart(now + this->settings.retry_delay);
     }
 }
 
--- a/bilberrylead/discovery/list_reader.hpp
+++ b/bilberrylead/discovery/list_reader.hpp
@@ -35,7 +35,7 @@
 
     /// Starts or stops reading; an answer that is still on its way to a
     /// reader that was stopped counts for nothing.
-    void set_active(bool wanted, instant now);
+    void set_active(bool should_read, instant now);
 
     /// True if it reads.
     bool is_active() const
@@ -48,7 +48,7 @@
     void expect(std::size_t upstreams, bool only_known_zones);
 
     /// True if a zone is among those by which the list is read.
-    bool knows_zone(zone_id const& zone) const;
+    bool has_zone(zone_id const& zone) const;
 
     /// A call that is due now, if any; there may be more. Its answer, or its
     /// failure, is reported by page_read or call_failed.
@@ -56,7 +56,7 @@
 
     /// A page came; gives the whole list once its last page is here.
     std::optional<std::vector<listed_upstream>>
-    page_read(std::uint64_t number, list_page const& page, instant now);
+    page_received(std::uint64_t number, list_page const& page, instant now);
 
     /// A call failed; its part of the reading starts again after a pause.
     void call_failed(std::uint64_t number, instant now);
@@ -70,33 +70,33 @@
     /// When the list was last read whole; nothing if it never was.
     std::optional<instant> last_read() const
     {
-        return this->read_at;
+        return this->last_read_at;
     }
 
 private:
     void start_reading(instant when);
-    void give_up_late_calls(instant now);
+    void fail_timed_out_calls(instant now);
     list_part* due_part(instant now);
-    void survey_page_read(list_page const& page);
-    duration spacing() const;
+    void full_scan_page_received(list_page const& page);
+    duration call_interval() const;
     list_part* part_of(std::uint64_t number);
-    std::vector<listed_upstream> take_all();
+    std::vector<listed_upstream> collect_upstreams();
 
     list_reader_settings settings;
     bool active = false;
     std::uint64_t last_number = 0;
     instant next_due{};
-    instant reading_began{};
-    bool has_begun = false;
-    std::size_t readings = 0;
+    instant reading_started_at{};
+    bool has_started = false;
+    std::size_t completed_readings = 0;
     std::size_t expected = 0;
     bool zones_are_known = false;
     std::vector<list_part> parts;
-    std::optional<list_part> survey;
+    std::optional<list_part> full_scan;
     // True once the survey had a call in the reading under way.
-    bool has_surveyed = false;
+    bool full_scan_has_called = false;
     std::vector<listed_upstream> leaving;
-    std::optional<instant> read_at;
+    std::optional<instant> last_read_at;
 };
 
 } // namespace bilberrylead::discovery
--- a/bilberrylead/discovery/list_reader_settings.hpp
+++ b/bilberrylead/discovery/list_reader_settings.hpp
@@ -30,21 +30,21 @@
     double share = 0.4;
     /// Calls that may be made up for at once when the reader was asked late.
     /// It is asked by a timer that is coarser than a fast list's pauses.
-    double most_saved_calls = 3;
+    double max_burst_calls = 3;
     /// A call without an answer has failed after this time.
     duration call_timeout = std::chrono::milliseconds(1000);
     /// Pause after a failed call.
-    duration failure_pause = std::chrono::milliseconds(250);
+    duration retry_delay = std::chrono::milliseconds(250);
     /// Pages of one part of one reading at most, against a list without end.
-    std::size_t most_pages = 10000;
+    std::size_t max_pages = 10000;
     /// The zones by which a long list is read in parts; empty: never.
     std::vector<zone_id> zones;
     /// Upstreams from which on the list is read by zone. Below that it has
     /// few pages, and one for each zone would be more of them.
-    std::size_t split_from = 600;
+    std::size_t zone_split_threshold = 600;
     /// Readings by zone from one survey of all zones to the next, at least 1:
     /// a survey shows upstreams in zones that this host was not told of.
-    std::size_t survey_each = 16;
+    std::size_t readings_per_full_scan = 16;
 };
 
 } // namespace bilberrylead::discovery
--- a/bilberrylead/discovery/upstream_listing.cpp
+++ b/bilberrylead/discovery/upstream_listing.cpp
@@ -12,9 +12,9 @@
 
 /// Two readings of one cold time differ by the time that a call takes; only
 /// a larger difference is news.
-constexpr duration cold_grain = std::chrono::milliseconds(400);
+constexpr duration cold_tolerance = std::chrono::milliseconds(400);
 
-bool is_news(listed_upstream const& before, listed_upstream const& after,
+bool differs(listed_upstream const& before, listed_upstream const& after,
              instant now)
 {
     if (before.upstream != after.upstream)
@@ -24,10 +24,10 @@
     // A warm one that stays warm says nothing, whenever it became so.
     instant const old_end = std::max(before.cold_until, now);
     instant const new_end = std::max(after.cold_until, now);
-    return std::chrono::abs(new_end - old_end) > cold_grain;
+    return std::chrono::abs(new_end - old_end) > cold_tolerance;
 }
 
-told_upstream tell(listed_upstream const& entry, instant now)
+reported_upstream to_reported(listed_upstream const& entry, instant now)
 {
     return {entry.upstream, std::max(entry.cold_until - now, duration::zero())};
 }
@@ -35,8 +35,8 @@
 } // namespace
 
 std::optional<list_changes>
-upstream_listing::read(std::vector<listed_upstream> const& found,
-                       std::uint64_t term, instant now)
+upstream_listing::apply_reading(std::vector<listed_upstream> const& found,
+                                std::uint64_t term, instant now)
 {
     list_changes changes;
     std::map<upstream_id, listed_upstream> next;
@@ -47,9 +47,9 @@
     for (auto const& [id, entry] : next)
     {
         auto const known = this->entries.find(id);
-        if (known == this->entries.end() || is_news(known->second, entry, now))
+        if (known == this->entries.end() || differs(known->second, entry, now))
         {
-            changes.put.push_back(tell(entry, now));
+            changes.put.push_back(to_reported(entry, now));
         }
     }
     for (auto const& [id, entry] : this->entries)
@@ -60,7 +60,7 @@
         }
     }
     bool const same = changes.put.empty() && changes.removed.empty();
-    if (same && this->held.term == term)
+    if (same && this->current.term == term)
     {
         return std::nullopt;
     }
@@ -70,10 +70,10 @@
 }
 
 std::optional<list_changes>
-upstream_listing::read_leaving(std::vector<listed_upstream> const& part,
-                               std::uint64_t term, instant now)
+upstream_listing::apply_leaving(std::vector<listed_upstream> const& part,
+                                std::uint64_t term, instant now)
 {
-    if (this->held.term != term)
+    if (this->current.term != term)
     {
         return std::nullopt;
     }
@@ -85,7 +85,7 @@
             !known->second.upstream.leaving)
         {
             known->second = each;
-            changes.put.push_back(tell(each, now));
+            changes.put.push_back(to_reported(each, now));
         }
     }
     if (changes.put.empty())
@@ -98,50 +98,50 @@
 
 void upstream_listing::advance(list_changes& changes, std::uint64_t term)
 {
-    changes.base = this->held;
-    changes.target = this->held.term == term
-                         ? list_position{term, this->held.number + 1}
+    changes.base = this->current;
+    changes.target = this->current.term == term
+                         ? list_position{term, this->current.number + 1}
                          : list_position{term, 1};
-    this->held = changes.target;
+    this->current = changes.target;
 }
 
-take_result upstream_listing::take(list_changes const& told, instant now)
+apply_result upstream_listing::apply(list_changes const& changes, instant now)
 {
-    if (told.target <= this->held)
+    if (changes.target <= this->current)
     {
-        return take_result::not_newer;
+        return apply_result::not_newer;
     }
-    if (!told.whole && told.base != this->held)
+    if (!changes.is_full && changes.base != this->current)
     {
-        return take_result::other_base;
+        return apply_result::base_mismatch;
     }
-    if (told.whole)
+    if (changes.is_full)
     {
         this->entries.clear();
     }
-    for (upstream_id const& id : told.removed)
+    for (upstream_id const& id : changes.removed)
     {
         this->entries.erase(id);
     }
-    for (told_upstream const& each : told.put)
+    for (reported_upstream const& each : changes.put)
     {
         this->entries.insert_or_assign(
             each.upstream.id,
-            listed_upstream{each.upstream, now + each.cold_left});
+            listed_upstream{each.upstream, now + each.cold_remaining});
     }
-    this->held = told.target;
-    return take_result::taken;
+    this->current = changes.target;
+    return apply_result::applied;
 }
 
-list_changes upstream_listing::whole(instant now) const
+list_changes upstream_listing::full_listing(instant now) const
 {
     list_changes changes;
-    changes.target = this->held;
-    changes.whole = true;
+    changes.target = this->current;
+    changes.is_full = true;
     changes.put.reserve(this->entries.size());
     for (auto const& [id, entry] : this->entries)
     {
-        changes.put.push_back(tell(entry, now));
+        changes.put.push_back(to_reported(entry, now));
     }
     return changes;
 }
--- a/bilberrylead/discovery/upstream_listing.hpp
+++ b/bilberrylead/discovery/upstream_listing.hpp
@@ -14,14 +14,14 @@
 {
 
 /// What became of changes that were handed to a listing.
-enum class take_result
+enum class apply_result
 {
     /// The listing is the one that they lead to.
-    taken,
+    applied,
     /// They lead to a listing that is not newer.
     not_newer,
     /// They start from another listing than the one held: ask for all of it.
-    other_base,
+    base_mismatch,
 };
 
 /// The upstreams as one process knows them: read from the list itself, or
@@ -32,8 +32,9 @@
     /// Takes what was read from the list itself; the position grows if
     /// anything changed, or if `term` is newer. Returns what to tell others,
     /// nothing if nothing is new.
-    std::optional<list_changes> read(std::vector<listed_upstream> const& found,
-                                     std::uint64_t term, instant now);
+    std::optional<list_changes>
+    apply_reading(std::vector<listed_upstream> const& found, std::uint64_t term,
+                  instant now);
 
     /// Takes of a part of the list what can't wait for the rest of it:
     /// upstreams that are leaving now and were not before. Returns what to
@@ -44,19 +45,19 @@
     /// to read; a leaving upstream on its first page got requests all that
     /// time, and as long again if it left just after that page was read.
     std::optional<list_changes>
-    read_leaving(std::vector<listed_upstream> const& part, std::uint64_t term,
-                 instant now);
+    apply_leaving(std::vector<listed_upstream> const& part, std::uint64_t term,
+                  instant now);
 
     /// Takes what another process told.
-    take_result take(list_changes const& told, instant now);
+    apply_result apply(list_changes const& changes, instant now);
 
     /// All of it, for a process that has another base.
-    list_changes whole(instant now) const;
+    list_changes full_listing(instant now) const;
 
     /// Which listing this is.
     list_position position() const
     {
-        return this->held;
+        return this->current;
     }
 
     /// All upstreams, by id.
@@ -68,7 +69,7 @@
 private:
     void advance(list_changes& changes, std::uint64_t term);
 
-    list_position held;
+    list_position current;
     std::map<upstream_id, listed_upstream> entries;
 };
 
--- a/bilberrylead/distribution/exchange_event.hpp
+++ b/bilberrylead/distribution/exchange_event.hpp
@@ -62,7 +62,7 @@
 };
 
 /// This process has a revision from its own log or disk.
-struct published
+struct revision_published
 {
     /// The revision, over 0.
     revision number = 0;
@@ -78,7 +78,7 @@
 /// Everything that can happen to an exchange.
 using exchange_event =
     std::variant<link_opened, link_closed, subscription_received,
-                 announcement_received, update_received, published,
+                 announcement_received, update_received, revision_published,
                  exchange_tick>;
 
 } // namespace bilberrylead::distribution
--- a/bilberrylead/distribution/revision_exchange.cpp
+++ b/bilberrylead/distribution/revision_exchange.cpp
@@ -13,52 +13,53 @@
 }
 
 std::vector<exchange_effect>
-revision_exchange::reduce(exchange_event const& what, instant now)
+revision_exchange::reduce(exchange_event const& event, instant now)
 {
     assert(now >= this->time);
     this->time = now;
     this->effects.clear();
     std::visit(
-        [this](auto const& event)
+        [this](auto const& typed_event)
         {
-            this->on(event);
+            this->on(typed_event);
         },
-        what);
+        event);
     return std::move(this->effects);
 }
 
-revision revision_exchange::held() const
+revision revision_exchange::current_revision() const
 {
     return this->current;
 }
 
-std::size_t revision_exchange::acknowledged(revision wanted) const
+std::size_t revision_exchange::count_acknowledged(revision number) const
 {
-    return static_cast<std::size_t>(std::count_if(
-        this->links.begin(), this->links.end(),
-        [wanted](link_map::value_type const& row)
-        {
-            return row.second.subscribed && row.second.peer_in_force >= wanted;
-        }));
+    return static_cast<std::size_t>(
+        std::count_if(this->links.begin(), this->links.end(),
+                      [number](link_map::value_type const& row)
+                      {
+                          return row.second.subscribed &&
+                                 row.second.revision_in_force >= number;
+                      }));
 }
 
-std::map<host_id, revision> revision_exchange::peers_in_force() const
+std::map<host_id, revision> revision_exchange::peer_revisions() const
 {
     std::map<host_id, revision> result;
     for (link_map::value_type const& row : this->links)
     {
         if (row.second.subscribed)
         {
-            revision& known = result[row.second.peer.id];
-            known = std::max(known, row.second.peer_in_force);
+            revision& newest = result[row.second.peer.id];
+            newest = std::max(newest, row.second.revision_in_force);
         }
     }
     return result;
 }
 
-void revision_exchange::on(link_opened const& what)
+void revision_exchange::on(link_opened const& event)
 {
-    this->links[what.link].peer = what.peer;
+    this->links[event.link].peer = event.peer;
     if (this->settings.is_source)
     {
         return;
@@ -66,13 +67,13 @@
 
     // Entry hosts subscribe to everybody, and are pushed to by one.
     this->choose_pushing_link();
-    this->subscribe(what.link);
+    this->subscribe(event.link);
 }
 
-void revision_exchange::on(link_closed const& what)
+void revision_exchange::on(link_closed const& event)
 {
-    this->links.erase(what.link);
-    if (this->pushing_link != what.link)
+    this->links.erase(event.link);
+    if (this->pushing_link != event.link)
     {
         return;
     }
@@ -83,9 +84,9 @@
     this->choose_pushing_link();
 }
 
-void revision_exchange::on(subscription_received const& what)
+void revision_exchange::on(subscription_received const& event)
 {
-    link_map::iterator const found = this->links.find(what.link);
+    link_map::iterator const found = this->links.find(event.link);
     if (found == this->links.end())
     {
         return;
@@ -94,50 +95,51 @@
     // What the peer says it has is the truth: it may have lost what was
     // sent, and a restarted one starts again from nothing.
     peer_link& from = found->second;
-    bool const wants_more = what.content.wanted == link::delivery::pushed &&
-                            from.wanted == link::delivery::announced;
-    if (!from.subscribed || wants_more)
+    bool const upgrades_delivery =
+        event.content.wanted == link::delivery::pushed &&
+        from.requested_delivery == link::delivery::announced;
+    if (!from.subscribed || upgrades_delivery)
     {
-        from.told = 0;
+        from.sent_revision = 0;
     }
     from.subscribed = true;
-    from.wanted = what.content.wanted;
-    from.peer_in_force = what.content.in_force;
-    this->tell(what.link, from);
+    from.requested_delivery = event.content.wanted;
+    from.revision_in_force = event.content.in_force;
+    this->notify(event.link, from);
 }
 
-void revision_exchange::on(announcement_received const& what)
+void revision_exchange::on(announcement_received const& event)
 {
-    if (!this->settings.is_source && what.content.in_force > this->current)
+    if (!this->settings.is_source && event.content.in_force > this->current)
     {
-        this->note_missing(what.link, what.content.in_force);
+        this->record_missing(event.link, event.content.in_force);
     }
 }
 
-void revision_exchange::on(update_received const& what)
+void revision_exchange::on(update_received const& event)
 {
     // Strictly increasing: two links may bring revisions in any order, and
     // a peer that was frozen may wake up with an old one.
-    bool const is_older = what.content.target <= this->current;
-    if (this->settings.is_source || is_older || what.content.base != 0)
+    bool const is_older = event.content.target <= this->current;
+    if (this->settings.is_source || is_older || event.content.base != 0)
     {
         return;
     }
-    this->hold(what.content.target,
-               std::make_shared<bytes const>(what.content.content));
+    this->install(event.content.target,
+                  std::make_shared<bytes const>(event.content.content));
     this->effects.emplace_back(install_revision{this->current, this->document});
-    this->tell_all();
+    this->notify_all();
     this->subscribe_all();
 }
 
-void revision_exchange::on(published const& what)
+void revision_exchange::on(revision_published const& event)
 {
-    if (what.number <= this->current)
+    if (event.number <= this->current)
     {
         return;
     }
-    this->hold(what.number, what.document);
-    this->tell_all();
+    this->install(event.number, event.document);
+    this->notify_all();
 }
 
 void revision_exchange::on(exchange_tick const&)
@@ -153,7 +155,7 @@
     }
 }
 
-void revision_exchange::hold(revision number, shared_document content)
+void revision_exchange::install(revision number, shared_document content)
 {
     assert(number > this->current);
     this->current = number;
@@ -164,15 +166,16 @@
     }
 }
 
-void revision_exchange::tell(link::link_number number, peer_link& to)
+void revision_exchange::notify(link::link_number number, peer_link& peer)
 {
-    bool const knows = std::max(to.peer_in_force, to.told) >= this->current;
-    if (!to.subscribed || knows)
+    bool const is_up_to_date =
+        std::max(peer.revision_in_force, peer.sent_revision) >= this->current;
+    if (!peer.subscribed || is_up_to_date)
     {
         return;
     }
-    to.told = this->current;
-    if (to.wanted == link::delivery::pushed)
+    peer.sent_revision = this->current;
+    if (peer.requested_delivery == link::delivery::pushed)
     {
         this->send(number, link::configuration_update{this->current, 0,
                                                       *this->document});
@@ -183,11 +186,11 @@
     }
 }
 
-void revision_exchange::tell_all()
+void revision_exchange::notify_all()
 {
     for (link_map::value_type& row : this->links)
     {
-        this->tell(row.first, row.second);
+        this->notify(row.first, row.second);
     }
 }
 
@@ -221,12 +224,12 @@
     {
         return;
     }
-    std::optional<link::link_number> const before = this->pushing_link;
+    std::optional<link::link_number> const previous = this->pushing_link;
     this->pushing_link = best->first;
     this->subscribe(best->first);
-    if (before.has_value())
+    if (previous.has_value())
     {
-        this->subscribe(*before);
+        this->subscribe(*previous);
     }
 }
 
@@ -247,8 +250,8 @@
     }
 }
 
-void revision_exchange::note_missing(link::link_number announced_by,
-                                     revision number)
+void revision_exchange::record_missing(link::link_number announced_by,
+                                       revision number)
 {
     if (this->announced == 0)
     {
@@ -257,7 +260,7 @@
     if (number > this->announced)
     {
         this->announced = number;
-        this->announcer = announced_by;
+        this->announcing_link = announced_by;
     }
 }
 
@@ -274,18 +277,18 @@
     // The chosen link does not deliver: the announcer becomes the chosen
     // one. If it is gone, its closing chose another link already.
     this->announced_at = this->time;
-    if (!this->links.contains(this->announcer) ||
-        this->pushing_link == this->announcer)
+    if (!this->links.contains(this->announcing_link) ||
+        this->pushing_link == this->announcing_link)
     {
         this->subscribe_all();
         return;
     }
-    std::optional<link::link_number> const before = this->pushing_link;
-    this->pushing_link = this->announcer;
-    this->subscribe(this->announcer);
-    if (before.has_value())
+    std::optional<link::link_number> const previous = this->pushing_link;
+    this->pushing_link = this->announcing_link;
+    this->subscribe(this->announcing_link);
+    if (previous.has_value())
     {
-        this->subscribe(*before);
+        this->subscribe(*previous);
     }
 }
 
--- a/bilberrylead/distribution/revision_exchange.hpp
+++ b/bilberrylead/distribution/revision_exchange.hpp
@@ -30,17 +30,17 @@
     explicit revision_exchange(exchange_settings const& settings);
 
     /// Takes one event. `now` never goes back.
-    std::vector<exchange_effect> reduce(exchange_event const& what,
+    std::vector<exchange_effect> reduce(exchange_event const& event,
                                         instant now);
 
     /// The revision held, 0 for none.
-    revision held() const;
+    revision current_revision() const;
 
     /// Peers that acknowledged a revision of at least `wanted`.
-    std::size_t acknowledged(revision wanted) const;
+    std::size_t count_acknowledged(revision number) const;
 
     /// The revision that each subscribed peer has in force.
-    std::map<host_id, revision> peers_in_force() const;
+    std::map<host_id, revision> peer_revisions() const;
 
 private:
     /// What is known of one link.
@@ -48,32 +48,32 @@
     {
         link::peer_identity peer;
         /// The peer's revision in force, as it last said.
-        revision peer_in_force = 0;
+        revision revision_in_force = 0;
         /// Newest revision that was sent or announced to the peer.
-        revision told = 0;
+        revision sent_revision = 0;
         /// How the peer wants to hear of more.
-        link::delivery wanted = link::delivery::announced;
+        link::delivery requested_delivery = link::delivery::announced;
         /// True once the peer subscribed.
         bool subscribed = false;
     };
 
     using link_map = std::map<link::link_number, peer_link>;
 
-    void on(link_opened const& what);
-    void on(link_closed const& what);
-    void on(subscription_received const& what);
-    void on(announcement_received const& what);
-    void on(update_received const& what);
-    void on(published const& what);
-    void on(exchange_tick const& what);
+    void on(link_opened const& event);
+    void on(link_closed const& event);
+    void on(subscription_received const& event);
+    void on(announcement_received const& event);
+    void on(update_received const& event);
+    void on(revision_published const& event);
+    void on(exchange_tick const& event);
 
-    void hold(revision number, shared_document document);
-    void tell(link::link_number number, peer_link& to);
-    void tell_all();
+    void install(revision number, shared_document document);
+    void notify(link::link_number number, peer_link& peer);
+    void notify_all();
     void choose_pushing_link();
     void subscribe(link::link_number number);
     void subscribe_all();
-    void note_missing(link::link_number announced_by, revision number);
+    void record_missing(link::link_number announced_by, revision number);
     void fetch_missing();
     void send(link::link_number to, link::message content);
 
@@ -84,7 +84,7 @@
     shared_document document;
     std::optional<link::link_number> pushing_link;
     revision announced = 0;
-    link::link_number announcer = 0;
+    link::link_number announcing_link = 0;
     instant announced_at;
     instant refreshed_at;
     std::vector<exchange_effect> effects;
--- a/bilberrylead/link/message_reader.cpp
+++ b/bilberrylead/link/message_reader.cpp
@@ -161,16 +161,16 @@
     return content;
 }
 
-discovery::told_upstream take_upstream(cbor_fields& fields)
+discovery::reported_upstream take_upstream(cbor_fields& fields)
 {
-    discovery::told_upstream told;
+    discovery::reported_upstream told;
     told.upstream.id = upstream_id(fields.take_text(longest_text));
     told.upstream.service = service_id(fields.take_text(longest_text));
     told.upstream.zone = zone_id(fields.take_text(longest_text));
     told.upstream.address = take_endpoint(fields);
     told.upstream.slots = fields.take_unsigned_32();
     told.upstream.leaving = fields.take_bool();
-    told.cold_left = duration(fields.take_signed());
+    told.cold_remaining = duration(fields.take_signed());
     return told;
 }
 
@@ -179,7 +179,7 @@
     upstream_update content;
     content.changes.base = take_position(fields);
     content.changes.target = take_position(fields);
-    content.changes.whole = fields.take_bool();
+    content.changes.is_full = fields.take_bool();
     content.changes.put = take_list(fields,
                                     [&fields]()
                                     {
--- a/bilberrylead/link/message_writer.cpp
+++ b/bilberrylead/link/message_writer.cpp
@@ -206,9 +206,9 @@
         json record = with_tag(message_tag::upstream_update);
         put_position(content.changes.base, record);
         put_position(content.changes.target, record);
-        record.push_back(content.changes.whole);
+        record.push_back(content.changes.is_full);
         record.push_back(content.changes.put.size());
-        for (discovery::told_upstream const& each : content.changes.put)
+        for (discovery::reported_upstream const& each : content.changes.put)
         {
             put_upstream(each, record);
         }
@@ -283,7 +283,8 @@
     }
 
     /// Labels and connections stay out: the list knows neither.
-    static void put_upstream(discovery::told_upstream const& told, json& record)
+    static void put_upstream(discovery::reported_upstream const& told,
+                             json& record)
     {
         record.push_back(told.upstream.id.text());
         record.push_back(told.upstream.service.text());
@@ -292,7 +293,7 @@
         record.push_back(told.upstream.address.port);
         record.push_back(told.upstream.slots);
         record.push_back(told.upstream.leaving);
-        record.push_back(told.cold_left.count());
+        record.push_back(told.cold_remaining.count());
     }
 };
 
--- a/bilberrylead/membership/member_planner.cpp
+++ b/bilberrylead/membership/member_planner.cpp
@@ -15,30 +15,32 @@
 
 /// How many voters share a place; hosts that have not said where they stand
 /// share none.
-struct crowding
+struct colocated_voters
 {
     std::size_t in_region = 0;
     std::size_t in_zone = 0;
 
-    friend auto operator<=>(crowding const&, crowding const&) = default;
+    friend auto operator<=>(colocated_voters const&,
+                            colocated_voters const&) = default;
 };
 
-bool answers(planned_host const& host, member_planner_settings const& settings)
+bool is_responsive(planned_host const& host,
+                   member_planner_settings const& settings)
 {
     return host.leader ||
-           (host.linked && host.silent_for < settings.replace_after);
+           (host.linked && host.unresponsive_for < settings.replace_after);
 }
 
 /// Voters that answer, beside one host and in its places.
-crowding crowding_of(planned_host const& host,
-                     std::vector<planned_host> const& hosts,
-                     member_planner_settings const& settings)
+colocated_voters colocated_voters_of(planned_host const& host,
+                                     std::vector<planned_host> const& hosts,
+                                     member_planner_settings const& settings)
 {
-    crowding found;
+    colocated_voters found;
     for (planned_host const& other : hosts)
     {
-        bool const counts =
-            other.voter && other.host != host.host && answers(other, settings);
+        bool const counts = other.voter && other.host != host.host &&
+                            is_responsive(other, settings);
         if (counts && !host.region.empty() && other.region == host.region)
         {
             ++found.in_region;
@@ -66,20 +68,21 @@
                                  member_planner_settings const& settings)
 {
     planned_host const* best = nullptr;
-    crowding least;
+    colocated_voters fewest;
     for (planned_host const& host : hosts)
     {
         bool const fit = host.member && !host.voter && host.caught_up &&
-                         !host.becomes_voter && answers(host, settings);
+                         !host.becomes_voter && is_responsive(host, settings);
         if (!fit)
         {
             continue;
         }
-        crowding const around = crowding_of(host, hosts, settings);
-        if (best == nullptr || around < least)
+        colocated_voters const colocated =
+            colocated_voters_of(host, hosts, settings);
+        if (best == nullptr || colocated < fewest)
         {
             best = &host;
-            least = around;
+            fewest = colocated;
         }
     }
     return best;
@@ -91,17 +94,18 @@
                                        member_planner_settings const& settings)
 {
     planned_host const* worst = nullptr;
-    std::tuple<duration, crowding> most;
+    std::tuple<duration, colocated_voters> most;
     for (planned_host const& host : hosts)
     {
         if (!host.voter || host.leader)
         {
             continue;
         }
-        duration const silence =
-            answers(host, settings) ? duration::zero() : host.silent_for;
-        std::tuple<duration, crowding> const weight{
-            silence, crowding_of(host, hosts, settings)};
+        duration const unresponsive_time = is_responsive(host, settings)
+                                               ? duration::zero()
+                                               : host.unresponsive_for;
+        std::tuple<duration, colocated_voters> const weight{
+            unresponsive_time, colocated_voters_of(host, hosts, settings)};
         if (worst == nullptr || weight > most)
         {
             worst = &host;
@@ -113,26 +117,27 @@
 
 /// True if the voters stand further apart with this host in the place of
 /// the most crowded one: after a region was away, the others hold its votes.
-bool spreads_better(planned_host const& joining,
-                    std::vector<planned_host> const& hosts,
-                    member_planner_settings const& settings)
+bool improves_spread(planned_host const& joining,
+                     std::vector<planned_host> const& hosts,
+                     member_planner_settings const& settings)
 {
     planned_host const* const leaving = least_needed_voter(hosts, settings);
-    return leaving != nullptr && crowding_of(joining, hosts, settings) <
-                                     crowding_of(*leaving, hosts, settings);
+    return leaving != nullptr &&
+           colocated_voters_of(joining, hosts, settings) <
+               colocated_voters_of(*leaving, hosts, settings);
 }
 
 /// A member without a vote that does not answer any more is not sent to for
 /// ever; one that should have become a voter makes room for another.
 std::optional<membership_change_requested>
-forget_silent(std::vector<planned_host> const& hosts,
-              member_planner_settings const& settings)
+remove_unresponsive(std::vector<planned_host> const& hosts,
+                    member_planner_settings const& settings)
 {
     for (planned_host const& host : hosts)
     {
         duration const longest =
-            host.becomes_voter ? settings.replace_after : settings.forget_after;
-        if (host.member && !host.voter && host.silent_for >= longest)
+            host.becomes_voter ? settings.replace_after : settings.remove_after;
+        if (host.member && !host.voter && host.unresponsive_for >= longest)
         {
             return change(membership_action::remove, host);
         }
@@ -152,25 +157,26 @@
 
 } // namespace
 
-std::size_t wanted_voters(std::vector<planned_host> const& hosts,
-                          member_planner_settings const& settings)
+std::size_t target_voter_count(std::vector<planned_host> const& hosts,
+                               member_planner_settings const& settings)
 {
     std::size_t const losses = std::max({std::size_t{settings.losses.hosts},
                                          std::size_t{settings.losses.zones},
                                          std::size_t{settings.losses.regions}});
-    std::size_t const wanted = std::min(2 * losses + 1, settings.most_voters);
-    std::size_t const alive = static_cast<std::size_t>(
+    std::size_t const wanted = std::min(2 * losses + 1, settings.max_voters);
+    std::size_t const responsive = static_cast<std::size_t>(
         std::count_if(hosts.begin(), hosts.end(),
                       [&settings](planned_host const& host)
                       {
-                          return answers(host, settings);
+                          return is_responsive(host, settings);
                       }));
 
     // Fewer hosts than wanted: an even number survives no more losses than
     // one less. Never fewer voters than there are, though: those that are
     // silent may come back with what only they hold.
     std::size_t const odd =
-        alive % 2 == 0 ? alive - std::min<std::size_t>(alive, 1) : alive;
+        responsive % 2 == 0 ? responsive - std::min<std::size_t>(responsive, 1)
+                            : responsive;
     return std::max(std::min(wanted, odd),
                     std::min(wanted, count_voters(hosts)));
 }
@@ -189,12 +195,12 @@
     }
 
     std::size_t const voters = count_voters(hosts);
-    std::size_t const wanted = wanted_voters(hosts, settings);
-    bool const has_silent_voter =
+    std::size_t const wanted = target_voter_count(hosts, settings);
+    bool const has_unresponsive_voter =
         std::any_of(hosts.begin(), hosts.end(),
                     [&settings](planned_host const& host)
                     {
-                        return host.voter && !answers(host, settings);
+                        return host.voter && !is_responsive(host, settings);
                     });
     if (voters > wanted)
     {
@@ -204,16 +210,16 @@
                    : std::optional(change(membership_action::remove, *leaving));
     }
     planned_host const* const joining = best_learner(hosts, settings);
-    if (joining != nullptr && (voters < wanted || has_silent_voter))
+    if (joining != nullptr && (voters < wanted || has_unresponsive_voter))
     {
         return change(membership_action::add_voter, *joining);
     }
-    if (joining != nullptr && voters == wanted && !has_silent_voter &&
-        spreads_better(*joining, hosts, settings))
+    if (joining != nullptr && voters == wanted && !has_unresponsive_voter &&
+        improves_spread(*joining, hosts, settings))
     {
         return change(membership_action::add_voter, *joining);
     }
-    return forget_silent(hosts, settings);
+    return remove_unresponsive(hosts, settings);
 }
 
 } // namespace bilberrylead::membership
--- a/bilberrylead/membership/member_planner.hpp
+++ b/bilberrylead/membership/member_planner.hpp
@@ -15,8 +15,8 @@
 /// Voters that the group wants: with 2n+1 of them, n may be lost together
 /// with their disks. Whole zones and regions are borne by how the voters
 /// are spread, as far as the hosts allow.
-std::size_t wanted_voters(std::vector<planned_host> const& hosts,
-                          member_planner_settings const& settings);
+std::size_t target_voter_count(std::vector<planned_host> const& hosts,
+                               member_planner_settings const& settings);
 
 /// The next change of membership, one member at a time, or nothing if the
 /// group is as it should be. Pure; asked again once the last change is
--- a/bilberrylead/membership/member_planner_settings.hpp
+++ b/bilberrylead/membership/member_planner_settings.hpp
@@ -22,9 +22,9 @@
     duration replace_after = std::chrono::milliseconds(1500);
     /// A member without a vote that is silent for so long leaves the group;
     /// if it comes back it is taken in again.
-    duration forget_after = std::chrono::seconds(8);
+    duration remove_after = std::chrono::seconds(8);
     /// Voters at most: more make every order slower.
-    std::size_t most_voters = 7;
+    std::size_t max_voters = 7;
 };
 
 } // namespace bilberrylead::membership
--- a/bilberrylead/membership/planned_host.hpp
+++ b/bilberrylead/membership/planned_host.hpp
@@ -31,7 +31,7 @@
     /// True if there is a link to it.
     bool linked = false;
     /// Time since it last answered as a member; zero for the leader.
-    duration silent_for{};
+    duration unresponsive_for{};
     /// True for the leader itself.
     bool leader = false;
 };
--- a/bilberrylead/presence/control_link_plan.cpp
+++ b/bilberrylead/presence/control_link_plan.cpp
@@ -9,90 +9,91 @@
 {
 
 control_link_plan::control_link_plan(host_id name, region_id own_region,
-                                     control_link_settings const& chosen)
-    : self(std::move(name)), region(std::move(own_region)), settings(chosen)
+                                     control_link_settings const& link_settings)
+    : self(std::move(name)), region(std::move(own_region)),
+      settings(link_settings)
 {
 }
 
-void control_link_plan::named(std::uint64_t link,
-                              std::vector<link::group_host> const& said)
+void control_link_plan::group_received(
+    std::uint64_t link, std::vector<link::group_host> const& reported_hosts)
 {
     // What closed links named goes as soon as an open one speaks.
-    std::erase_if(this->hosts,
+    std::erase_if(this->hosts_by_link,
                   [this](auto const& known)
                   {
-                      return !this->leader_of.contains(known.first);
+                      return !this->leader_by_link.contains(known.first);
                   });
-    this->leader_of.try_emplace(link);
-    this->hosts[link] = said;
+    this->leader_by_link.try_emplace(link);
+    this->hosts_by_link[link] = reported_hosts;
 }
 
-void control_link_plan::leader_named(std::uint64_t link, host_id const& leader,
-                                     instant now)
+void control_link_plan::leader_received(std::uint64_t link,
+                                        host_id const& leader, instant now)
 {
-    bool const was_known = !this->leaders().empty();
-    this->leader_of[link] = leader;
-    if (was_known || !leader.empty())
+    bool const had_leader = !this->leaders().empty();
+    this->leader_by_link[link] = leader;
+    if (had_leader || !leader.empty())
     {
         this->leader_lost_at = now;
     }
 }
 
-void control_link_plan::closed(std::uint64_t link)
+void control_link_plan::link_closed(std::uint64_t link)
 {
-    this->leader_of.erase(link);
+    this->leader_by_link.erase(link);
 }
 
 std::set<host_id> control_link_plan::leaders() const
 {
-    std::set<host_id> named_leaders;
-    for (auto const& [link, leader] : this->leader_of)
+    std::set<host_id> found;
+    for (auto const& [link, leader] : this->leader_by_link)
     {
         if (!leader.empty())
         {
-            named_leaders.insert(leader);
+            found.insert(leader);
         }
     }
-    return named_leaders;
+    return found;
 }
 
 bool control_link_plan::is_searching(instant now) const
 {
-    return this->hosts.empty() ||
+    return this->hosts_by_link.empty() ||
            (this->leaders().empty() &&
             now - this->leader_lost_at >= this->settings.search_after);
 }
 
-std::vector<link::group_host> control_link_plan::known_hosts() const
+std::vector<link::group_host> control_link_plan::all_hosts() const
 {
     std::map<host_id, link::group_host> by_id;
-    for (auto const& [link, named_hosts] : this->hosts)
+    for (auto const& [link, reported_hosts] : this->hosts_by_link)
     {
-        for (link::group_host const& each : named_hosts)
+        for (link::group_host const& host : reported_hosts)
         {
-            link::group_host& known = by_id[each.id];
+            link::group_host& known = by_id[host.id];
             if (known.region.empty())
             {
-                known = each;
+                known = host;
             }
         }
     }
     std::vector<link::group_host> all;
     all.reserve(by_id.size());
-    for (auto& [id, host] : by_id)
+    for (auto& [id, entry] : by_id)
     {
-        all.push_back(std::move(host));
+        all.push_back(std::move(entry));
     }
     return all;
 }
 
-std::set<host_id> control_link_plan::wanted(instant now) const
+std::set<host_id> control_link_plan::desired_links(instant now) const
 {
     control_link_settings bounds = this->settings;
-    std::vector<link::group_host> const known = this->known_hosts();
+    std::vector<link::group_host> const known = this->all_hosts();
     if (this->is_searching(now))
     {
-        bounds.most_linked_whole = known.size();
+        bounds.max_fully_linked_hosts = known.size();
     }
     return choose_control_links(
         known, {this->self, this->region, this->leaders()}, bounds);
--- a/bilberrylead/presence/control_link_plan.hpp
+++ b/bilberrylead/presence/control_link_plan.hpp
@@ -30,30 +30,32 @@
                       control_link_settings const& settings = {});
 
     /// The control host behind a link names the hosts of its group.
-    void named(std::uint64_t link, std::vector<link::group_host> const& hosts);
+    void group_received(std::uint64_t link,
+                        std::vector<link::group_host> const& reported_hosts);
 
     /// It names the leader; an empty name: it knows none.
-    void leader_named(std::uint64_t link, host_id const& leader, instant now);
+    void leader_received(std::uint64_t link, host_id const& leader,
+                         instant now);
 
     /// The link is gone. What it named stays until another one is heard: a
     /// process that lost all of its links still has to know whom to call.
-    void closed(std::uint64_t link);
+    void link_closed(std::uint64_t link);
 
     /// True if no linked control host has named a leader for too long.
     bool is_searching(instant now) const;
 
     /// The control hosts to keep links to.
-    std::set<host_id> wanted(instant now) const;
+    std::set<host_id> desired_links(instant now) const;
 
 private:
     std::set<host_id> leaders() const;
-    std::vector<link::group_host> known_hosts() const;
+    std::vector<link::group_host> all_hosts() const;
 
     host_id self;
     region_id region;
     control_link_settings settings;
-    std::map<std::uint64_t, std::vector<link::group_host>> hosts;
-    std::map<std::uint64_t, host_id> leader_of;
+    std::map<std::uint64_t, std::vector<link::group_host>> hosts_by_link;
+    std::map<std::uint64_t, host_id> leader_by_link;
     instant leader_lost_at{};
 };
 
--- a/bilberrylead/presence/control_link_settings.hpp
+++ b/bilberrylead/presence/control_link_settings.hpp
@@ -13,13 +13,13 @@
 struct control_link_settings
 {
     /// A group of up to so many hosts is linked whole.
-    std::size_t most_linked_whole = 9;
+    std::size_t max_fully_linked_hosts = 9;
     /// Links to control hosts of the own region: callers of the region are
     /// sent to the entry hosts that these hear.
-    std::size_t in_own_region = 3;
+    std::size_t local_region_links = 3;
     /// Links to control hosts of each other region. With two in different
     /// zones one lost zone cuts no entry host off from a region.
-    std::size_t in_other_regions = 2;
+    std::size_t links_per_remote_region = 2;
     /// All control hosts are called once nobody has named a leader for so
     /// long: an election is over by then, so that a change of leader makes no
     /// storm of calls.
--- a/bilberrylead/presence/control_links.cpp
+++ b/bilberrylead/presence/control_links.cpp
@@ -35,17 +35,18 @@
 
 /// The hosts of one region in the order in which they are chosen: the first
 /// of each zone, then the second of each, and so on.
-std::vector<ranked_host> in_order(std::vector<link::group_host> const& hosts,
-                                  region_id const& region, host_id const& self)
+std::vector<ranked_host>
+selection_order(std::vector<link::group_host> const& hosts,
+                region_id const& region, host_id const& self)
 {
     std::vector<ranked_host> ranked;
-    for (link::group_host const& each : hosts)
+    for (link::group_host const& host : hosts)
     {
-        if (each.region == region)
+        if (host.region == region)
         {
-            std::uint64_t const mixed =
-                policy::generator(rank_of(self, each.id)).next();
-            ranked.push_back({mixed, each.id, each.zone, 0});
+            std::uint64_t const rank =
+                policy::generator(rank_of(self, host.id)).next();
+            ranked.push_back({rank, host.id, host.zone, 0});
         }
     }
     std::sort(ranked.begin(), ranked.end(),
@@ -53,10 +54,10 @@
               {
                   return one.rank > other.rank;
               });
-    std::map<zone_id, std::size_t> taken;
-    for (ranked_host& each : ranked)
+    std::map<zone_id, std::size_t> count_by_zone;
+    for (ranked_host& host : ranked)
     {
-        each.round = taken[each.zone]++;
+        host.round = count_by_zone[host.zone]++;
     }
     std::sort(ranked.begin(), ranked.end(),
               [](ranked_host const& one, ranked_host const& other)
@@ -71,31 +72,31 @@
 
 std::set<host_id>
 choose_control_links(std::vector<link::group_host> const& hosts,
-                     control_link_question const& question,
+                     control_link_query const& query,
                      control_link_settings const& settings)
 {
     std::set<host_id> chosen;
     std::set<region_id> regions;
-    for (link::group_host const& each : hosts)
+    for (link::group_host const& host : hosts)
     {
-        regions.insert(each.region);
+        regions.insert(host.region);
         // A host whose place is not told yet may be the only one of its
         // region.
-        bool const is_linked = hosts.size() <= settings.most_linked_whole ||
-                               each.region.empty() ||
-                               question.leaders.contains(each.id);
+        bool const is_linked =
+            hosts.size() <= settings.max_fully_linked_hosts ||
+            host.region.empty() || query.leaders.contains(host.id);
         if (is_linked)
         {
-            chosen.insert(each.id);
+            chosen.insert(host.id);
         }
     }
     for (region_id const& region : regions)
     {
         std::vector<ranked_host> const ranked =
-            in_order(hosts, region, question.self);
-        std::size_t const wanted = region == question.region
-                                       ? settings.in_own_region
-                                       : settings.in_other_regions;
+            selection_order(hosts, region, query.self);
+        std::size_t const wanted = region == query.region
+                                       ? settings.local_region_links
+                                       : settings.links_per_remote_region;
         for (std::size_t place = 0; place < std::min(wanted, ranked.size());
              ++place)
         {
--- a/bilberrylead/presence/control_links.hpp
+++ b/bilberrylead/presence/control_links.hpp
@@ -12,7 +12,7 @@
 {
 
 /// What an entry host asks: which control hosts it keeps links to.
-struct control_link_question
+struct control_link_query
 {
     /// This entry host.
     host_id self;
@@ -37,7 +37,7 @@
 /// region leaves an entry host with links to the others.
 std::set<host_id>
 choose_control_links(std::vector<link::group_host> const& hosts,
-                     control_link_question const& question,
+                     control_link_query const& query,
                      control_link_settings const& settings = {});
 
 } // namespace bilberrylead::presence
--- a/bilberrylead/presence/entry_table.cpp
+++ b/bilberrylead/presence/entry_table.cpp
@@ -7,62 +7,63 @@
 namespace bilberrylead::presence
 {
 
-entry_table::entry_table(entry_table_settings const& chosen,
+entry_table::entry_table(entry_table_settings const& initial_settings,
                          process_seed const& seed)
-    : settings(chosen), turn(seed.of(random_sequence::steering))
+    : settings(initial_settings), rotation(seed.of(random_sequence::steering))
 {
 }
 
-void entry_table::heard(std::uint64_t link, host_id const& host,
-                        link::entry_presence const& said, instant now)
+void entry_table::record_heartbeat(std::uint64_t link, host_id const& host,
+                                   link::entry_presence const& heartbeat,
+                                   instant now)
 {
-    this->rows.insert_or_assign(host, row{said, link, now});
+    this->rows.insert_or_assign(host, row{heartbeat, link, now});
 }
 
-void entry_table::lost(std::uint64_t link)
+void entry_table::remove_link(std::uint64_t link)
 {
     std::erase_if(this->rows,
-                  [link](std::map<host_id, row>::value_type const& known)
+                  [link](std::map<host_id, row>::value_type const& entry)
                   {
-                      return known.second.link == link;
+                      return entry.second.link == link;
                   });
 }
 
-bool entry_table::usable(row const& known, instant now) const
+bool entry_table::is_usable(row const& entry, instant now) const
 {
-    return known.said.ready && !known.said.stopping &&
-           now - known.heard_at < this->settings.silence_limit;
+    return entry.heartbeat.ready && !entry.heartbeat.stopping &&
+           now - entry.received_at < this->settings.heartbeat_timeout;
 }
 
-steering_reply entry_table::answer(steering_question const& question,
-                                   instant now)
+steering_reply entry_table::reply_to(steering_query const& query, instant now)
 {
     steering_reply reply;
-    reply.ttl = std::min(this->settings.ttl, this->settings.longest_ttl);
-    std::vector<config::endpoint> elsewhere;
-    for (auto const& [host, known] : this->rows)
+    reply.ttl = std::min(this->settings.ttl, this->settings.max_ttl);
+    std::vector<config::endpoint> remote_hosts;
+    for (auto const& [host, entry] : this->rows)
     {
-        if (!this->usable(known, now))
+        if (!this->is_usable(entry, now))
         {
             continue;
         }
-        bool const near =
-            question.region.empty() || known.said.region == question.region;
-        (near ? reply.entry_hosts : elsewhere).push_back(known.said.address);
+        bool const is_local =
+            query.region.empty() || entry.heartbeat.region == query.region;
+        (is_local ? reply.entry_hosts : remote_hosts)
+            .push_back(entry.heartbeat.address);
     }
     if (reply.entry_hosts.empty())
     {
-        reply.entry_hosts = std::move(elsewhere);
+        reply.entry_hosts = std::move(remote_hosts);
     }
     std::size_t const count = reply.entry_hosts.size();
-    if (count > this->settings.most_named)
+    if (count > this->settings.max_hosts_per_reply)
     {
         std::rotate(reply.entry_hosts.begin(),
                     reply.entry_hosts.begin() +
-                        static_cast<std::ptrdiff_t>(this->turn % count),
+                        static_cast<std::ptrdiff_t>(this->rotation % count),
                     reply.entry_hosts.end());
-        reply.entry_hosts.resize(this->settings.most_named);
-        this->turn += this->settings.most_named;
+        reply.entry_hosts.resize(this->settings.max_hosts_per_reply);
+        this->rotation += this->settings.max_hosts_per_reply;
     }
     return reply;
 }
@@ -71,21 +72,21 @@
 {
     return static_cast<std::size_t>(std::count_if(
         this->rows.begin(), this->rows.end(),
-        [this, now](std::map<host_id, row>::value_type const& known)
+        [this, now](std::map<host_id, row>::value_type const& entry)
         {
-            return this->usable(known.second, now);
+            return this->is_usable(entry.second, now);
         }));
 }
 
-std::size_t entry_table::most_ready_hosts_of_a_region(instant now) const
+std::size_t entry_table::max_ready_hosts_per_region(instant now) const
 {
     std::map<region_id, std::size_t> counts;
     std::size_t most = 0;
-    for (auto const& [host, known] : this->rows)
+    for (auto const& [host, entry] : this->rows)
     {
-        if (this->usable(known, now))
+        if (this->is_usable(entry, now))
         {
-            most = std::max(most, ++counts[known.said.region]);
+            most = std::max(most, ++counts[entry.heartbeat.region]);
         }
     }
     return most;
--- a/bilberrylead/presence/entry_table.hpp
+++ b/bilberrylead/presence/entry_table.hpp
@@ -5,7 +5,7 @@
 #include "bilberrylead/core/time.hpp"
 #include "bilberrylead/link/messages/entry_presence.hpp"
 #include "bilberrylead/presence/entry_table_settings.hpp"
-#include "bilberrylead/presence/steering_question.hpp"
+#include "bilberrylead/presence/steering_query.hpp"
 #include "bilberrylead/presence/steering_reply.hpp"
 
 #include <cstddef>
@@ -33,34 +33,34 @@
     entry_table(entry_table_settings const& settings, process_seed const& seed);
 
     /// A heartbeat came over a link.
-    void heard(std::uint64_t link, host_id const& host,
-               link::entry_presence const& said, instant now);
+    void record_heartbeat(std::uint64_t link, host_id const& host,
+                          link::entry_presence const& heartbeat, instant now);
 
     /// A link is gone: what it carried is not heard any more.
-    void lost(std::uint64_t link);
+    void remove_link(std::uint64_t link);
 
     /// Which hosts a caller should use: those of its region, so that a zone
     /// whose few hosts fail costs its callers no more than a retry; those of
     /// other regions only if its own has none. Of many hosts each answer
     /// names the next few in turn, so that callers spread over all of them;
     /// each control host begins elsewhere.
-    steering_reply answer(steering_question const& question, instant now);
+    steering_reply reply_to(steering_query const& query, instant now);
 
     /// Hosts that are ready and heard.
     std::size_t ready_hosts(instant now) const;
 
     /// The most of them that stand in one region.
-    std::size_t most_ready_hosts_of_a_region(instant now) const;
+    std::size_t max_ready_hosts_per_region(instant now) const;
 
     /// A host as it was last heard.
     struct row
     {
         /// What it said.
-        link::entry_presence said;
+        link::entry_presence heartbeat;
         /// The link that carried it.
         std::uint64_t link = 0;
         /// When.
-        instant heard_at{};
+        instant received_at{};
     };
 
     /// All hosts that have a link, by name.
@@ -70,12 +70,12 @@
     }
 
 private:
-    bool usable(row const& known, instant now) const;
+    bool is_usable(row const& entry, instant now) const;
 
     entry_table_settings settings;
     std::map<host_id, row> rows;
     /// Where the next answer begins, if it cannot name all hosts.
-    std::size_t turn;
+    std::size_t rotation;
 };
 
 } // namespace bilberrylead::presence
--- a/bilberrylead/presence/steering_question.hpp
+++ b/bilberrylead/presence/steering_query.hpp
@@ -1,5 +1,5 @@
-#ifndef BILBERRYLEAD_PRESENCE_STEERING_QUESTION_HPP
-#define BILBERRYLEAD_PRESENCE_STEERING_QUESTION_HPP
+#ifndef BILBERRYLEAD_PRESENCE_STEERING_QUERY_HPP
+#define BILBERRYLEAD_PRESENCE_STEERING_QUERY_HPP
 
 #include "bilberrylead/core/ids.hpp"
 
@@ -7,7 +7,7 @@
 {
 
 /// A caller asks which entry hosts to use.
-struct steering_question
+struct steering_query
 {
     /// The caller's region; empty if it does not say.
     region_id region;
--- a/performance/distribution_slopes/distribution_slopes.cpp
+++ b/performance/distribution_slopes/distribution_slopes.cpp
@@ -167,8 +167,9 @@
                 [&source, &content, &bytes_sent]()
                 {
                     for (distribution::exchange_effect const& effect :
-                         source.reduce(distribution::published{1, content},
-                                       instant{}))
+                         source.reduce(
+                             distribution::revision_published{1, content},
+                             instant{}))
                     {
                         bytes_sent +=
                             link::encode(
@@ -250,7 +251,7 @@
     for (std::size_t const count : {40U, 400U, 8100U})
     {
         link::upstream_update update;
-        update.changes.whole = true;
+        update.changes.is_full = true;
         for (config::upstream const& each :
              sized_configuration(count).upstreams)
         {
--- a/tests/unit/control/control_group.hpp
+++ b/tests/unit/control/control_group.hpp
@@ -20,9 +20,9 @@
 namespace bilberrylead::tests
 {
 
-inline host_id control_host(std::size_t place)
+inline host_id control_host(std::size_t index)
 {
-    return host_id("c" + std::to_string(place + 1));
+    return host_id("c" + std::to_string(index + 1));
 }
 
 /// Three founders whose messages arrive when the test says so. Links below
@@ -32,7 +32,7 @@
     static constexpr std::size_t hosts = 3;
     static constexpr link::link_number entry_link = 100;
 
-    struct letter
+    struct envelope
     {
         std::size_t from = 0;
         std::size_t to = 0;
@@ -43,42 +43,43 @@
     {
         agreement::started recovered;
         recovered.founding.emplace();
-        for (std::size_t place = 0; place < hosts; ++place)
+        for (std::size_t index = 0; index < hosts; ++index)
         {
-            recovered.founding->put({control_host(place), 1, true, false});
+            recovered.founding->put({control_host(index), 1, true, false});
             control::control_reducer_settings settings;
-            settings.self = control_host(place);
+            settings.self = control_host(index);
             settings.planner.emplace();
             settings.planner->losses = {1, 1, 0};
-            this->nodes.at(place) = std::make_unique<control::control_reducer>(
+            this->nodes.at(index) = std::make_unique<control::control_reducer>(
                 settings, process_seed(settings.self, 1));
         }
-        for (std::size_t place = 0; place < hosts; ++place)
+        for (std::size_t index = 0; index < hosts; ++index)
         {
-            this->give(place, {control::control_started{recovered}});
+            this->dispatch(index, {control::control_started{recovered}});
             for (std::size_t other = 0; other < hosts; ++other)
             {
-                if (other != place)
+                if (other != index)
                 {
-                    this->connect(place, other, control_host(other),
+                    this->connect(index, other, control_host(other),
                                   link::peer_role::control);
                 }
             }
         }
     }
 
-    void connect(std::size_t place, link::link_number number,
+    void connect(std::size_t index, link::link_number number,
                  host_id const& peer, link::peer_role role)
     {
-        this->give(place, {control::peer_connected{number, {peer, role, 1}}});
+        this->dispatch(index,
+                       {control::peer_connected{number, {peer, role, 1}}});
     }
 
     /// Hands events over in one call and carries the effects out.
-    void give(std::size_t place,
-              std::vector<control::control_event> const& events)
+    void dispatch(std::size_t index,
+                  std::vector<control::control_event> const& events)
     {
         for (control::control_effect& effect :
-             this->nodes.at(place)->reduce(events, this->time))
+             this->nodes.at(index)->reduce(events, this->time))
         {
             if (std::holds_alternative<agreement::sync>(effect))
             {
@@ -92,7 +93,7 @@
             else if (control::send_to_peer* const sent =
                          std::get_if<control::send_to_peer>(&effect))
             {
-                this->post(place, *sent);
+                this->post(index, *sent);
             }
         }
     }
@@ -101,26 +102,27 @@
     {
         if (sent.link >= entry_link)
         {
-            this->told[{from, sent.link}].push_back(std::move(sent.content));
+            this->sent_to_entry_hosts[{from, sent.link}].push_back(
+                std::move(sent.content));
             return;
         }
-        this->on_way.push_back({from, sent.link, std::move(sent.content)});
+        this->in_flight.push_back({from, sent.link, std::move(sent.content)});
     }
 
     /// Delivers until nothing is on its way; what a lost host sends or
     /// should get is lost.
     void deliver()
     {
-        while (!this->on_way.empty())
+        while (!this->in_flight.empty())
         {
-            letter const next = std::move(this->on_way.front());
-            this->on_way.pop_front();
+            envelope const next = std::move(this->in_flight.front());
+            this->in_flight.pop_front();
             if (!this->isolated.contains(next.from) &&
                 !this->isolated.contains(next.to) &&
-                !this->deaf.contains(next.to))
+                !this->not_receiving.contains(next.to))
             {
-                this->give(next.to,
-                           {control::peer_message{next.from, next.content}});
+                this->dispatch(
+                    next.to, {control::peer_message{next.from, next.content}});
             }
         }
     }
@@ -131,11 +133,11 @@
         for (int tick = 0; tick < ticks; ++tick)
         {
             this->time += agreement::replica_settings{}.tick_interval;
-            for (std::size_t place = 0; place < hosts; ++place)
+            for (std::size_t index = 0; index < hosts; ++index)
             {
-                if (!this->frozen.contains(place))
+                if (!this->frozen.contains(index))
                 {
-                    this->give(place, {control::control_tick{}});
+                    this->dispatch(index, {control::control_tick{}});
                 }
             }
             this->deliver();
@@ -143,17 +145,17 @@
     }
 
     /// Lets time pass until a host that can be reached leads with a lease.
-    std::size_t lead()
+    std::size_t wait_for_leader()
     {
         for (int tick = 0; tick < 200; ++tick)
         {
             this->advance(1);
-            for (std::size_t place = 0; place < hosts; ++place)
+            for (std::size_t index = 0; index < hosts; ++index)
             {
-                if (!this->isolated.contains(place) &&
-                    this->nodes.at(place)->log().holds_lease(this->time))
+                if (!this->isolated.contains(index) &&
+                    this->nodes.at(index)->log().holds_lease(this->time))
                 {
-                    return place;
+                    return index;
                 }
             }
         }
@@ -161,16 +163,16 @@
         return hosts;
     }
 
-    void ask(std::size_t place, std::uint64_t number,
-             control::operator_request const& request)
+    void request(std::size_t index, std::uint64_t number,
+                 control::operator_request const& content)
     {
-        this->give(place,
-                   {control::operator_asked{number, request, wall_time{}}});
+        this->dispatch(index, {control::operator_request_received{
+                                  number, content, wall_time{}}});
     }
 
-    void say(std::size_t place, link::message const& content)
+    void send_from_entry_host(std::size_t index, link::message const& content)
     {
-        this->give(place, {control::peer_message{entry_link, content}});
+        this->dispatch(index, {control::peer_message{entry_link, content}});
         this->deliver();
     }
 
@@ -185,9 +187,10 @@
 
     /// The last message over the entry link of a host, of this kind.
     template <class Kind>
-    Kind last_told(std::size_t place)
+    Kind last_sent(std::size_t index)
     {
-        std::vector<link::message> const& all = this->told[{place, entry_link}];
+        std::vector<link::message> const& all =
+            this->sent_to_entry_hosts[{index, entry_link}];
         cr_assert_not(all.empty());
         Kind const* const content = std::get_if<Kind>(&all.back());
         cr_assert_not_null(content);
@@ -196,14 +199,14 @@
 
     std::array<std::unique_ptr<control::control_reducer>, hosts> nodes;
     instant time{std::chrono::seconds(1)};
-    std::deque<letter> on_way;
+    std::deque<envelope> in_flight;
     std::set<std::size_t> isolated;
-    std::set<std::size_t> deaf;
+    std::set<std::size_t> not_receiving;
     std::set<std::size_t> frozen;
     std::map<std::uint64_t, std::vector<control::operator_reply>> answers;
     std::map<std::pair<std::size_t, link::link_number>,
              std::vector<link::message>>
-        told;
+        sent_to_entry_hosts;
     std::size_t syncs = 0;
 };
 
--- a/tests/unit/control/control_reducer_test.cpp
+++ b/tests/unit/control/control_reducer_test.cpp
@@ -47,14 +47,14 @@
 /// A group with a leader, and an entry host that is linked to every host.
 struct led_group : control_group
 {
-    std::size_t leader = this->lead();
+    std::size_t leader = this->wait_for_leader();
     std::size_t follower = (this->leader + 1) % hosts;
 
     led_group()
     {
-        for (std::size_t place = 0; place < hosts; ++place)
+        for (std::size_t index = 0; index < hosts; ++index)
         {
-            this->connect(place, entry_link, host_id("e1"),
+            this->connect(index, entry_link, host_id("e1"),
                           link::peer_role::entry);
         }
     }
@@ -63,7 +63,7 @@
     void expect_verdict(std::uint64_t number)
     {
         link::claim_reply const reply =
-            this->last_told<link::claim_reply>(this->leader);
+            this->last_sent<link::claim_reply>(this->leader);
         cr_assert_eq(reply.number, number);
         cr_assert(std::holds_alternative<Verdict>(reply.verdict));
     }
@@ -74,21 +74,22 @@
 Test(control_reducer, change_when_a_quorum_has_it_is_answered_and_published)
 {
     led_group group;
-    std::vector<std::size_t> const places{group.leader, group.follower};
-    for (std::size_t const place : places)
+    std::vector<std::size_t> const recipients{group.leader, group.follower};
+    for (std::size_t const index : recipients)
     {
-        group.say(place, link::subscription{0, link::delivery::pushed});
+        group.send_from_entry_host(
+            index, link::subscription{0, link::delivery::pushed});
     }
-    group.ask(group.leader, 1, change("a", 0));
+    group.request(group.leader, 1, change("a", 0));
     cr_assert(group.answers.empty());
     group.deliver();
     cr_assert(outcome_of(group.answer_to(1)) ==
               catalog::change_outcome(catalog::change_accepted{1}));
     group.advance(3);
-    for (std::size_t const place : places)
+    for (std::size_t const index : recipients)
     {
         link::configuration_update const update =
-            group.last_told<link::configuration_update>(place);
+            group.last_sent<link::configuration_update>(index);
         cr_assert_eq(update.target, 1U);
         cr_assert(update.content == bytes({'{', '}', 'a'}));
     }
@@ -101,18 +102,18 @@
 Test(control_reducer, change_when_resent_after_a_leader_change_counts_once)
 {
     led_group group;
-    group.deaf = {group.leader};
-    group.ask(group.leader, 1, change("a", 0));
+    group.not_receiving = {group.leader};
+    group.request(group.leader, 1, change("a", 0));
     group.deliver();
     group.isolated = {group.leader};
-    std::size_t const next = group.lead();
+    std::size_t const next = group.wait_for_leader();
     cr_assert_neq(next, group.leader);
-    group.ask(next, 2, change("a", 0));
+    group.request(next, 2, change("a", 0));
     group.deliver();
     cr_assert(outcome_of(group.answer_to(2)) ==
               catalog::change_outcome(catalog::change_already_accepted{1}));
 
-    group.deaf.clear();
+    group.not_receiving.clear();
     group.isolated.clear();
     group.advance(30);
     cr_assert(kind_of(refusal_of(group.answer_to(1))) == error_kind::timeout);
@@ -126,8 +127,8 @@
 Test(control_reducer, changes_when_racing_from_one_base_have_one_winner)
 {
     led_group group;
-    group.ask(group.leader, 1, change("a", 0));
-    group.ask(group.leader, 2, change("b", 0));
+    group.request(group.leader, 1, change("a", 0));
+    group.request(group.leader, 2, change("b", 0));
     group.deliver();
     cr_assert(outcome_of(group.answer_to(1)) ==
               catalog::change_outcome(catalog::change_accepted{1}));
@@ -138,10 +139,10 @@
 Test(control_reducer, operator_at_a_follower_hears_who_leads)
 {
     led_group group;
-    group.ask(group.follower, 1, change("a", 0));
-    group.ask(group.follower, 2, control::read_configuration{});
-    group.ask(group.follower, 3, control::read_audit{});
-    group.ask(group.follower, 4, control::hand_over{});
+    group.request(group.follower, 1, change("a", 0));
+    group.request(group.follower, 2, control::read_configuration{});
+    group.request(group.follower, 3, control::read_audit{});
+    group.request(group.follower, 4, control::hand_over{});
     std::string const name = control_host(group.leader).text();
     for (std::uint64_t number = 1; number <= 4; ++number)
     {
@@ -159,14 +160,14 @@
 {
     led_group group;
     group.isolated = {group.leader};
-    group.ask(group.leader, 1, change("a", 0));
-    group.say(group.leader, claim_of(1, "r1"));
+    group.request(group.leader, 1, change("a", 0));
+    group.send_from_entry_host(group.leader, claim_of(1, "r1"));
     group.advance(60);
     cr_assert(kind_of(refusal_of(group.answer_to(1))) == error_kind::timeout);
-    for (link::message const& told :
-         group.told[{group.leader, led_group::entry_link}])
+    for (link::message const& sent :
+         group.sent_to_entry_hosts[{group.leader, led_group::entry_link}])
     {
-        cr_assert_not(std::holds_alternative<link::claim_reply>(told));
+        cr_assert_not(std::holds_alternative<link::claim_reply>(sent));
     }
 }
 
@@ -177,48 +178,49 @@
 {
     led_group group;
     std::uint64_t const term = group.nodes.at(group.leader)->log().term();
-    link::replica_message const said{
+    link::replica_message const forged{
         agreement::encode_message({term + 9, 1, agreement::append_request{}})};
     group.connect(group.leader, 101, control_host(group.follower),
                   link::peer_role::entry);
-    group.give(group.leader, {control::peer_message{101, said}});
+    group.dispatch(group.leader, {control::peer_message{101, forged}});
     cr_assert_eq(group.nodes.at(group.leader)->log().term(), term);
 
     // The same words over a control host's link are heard.
-    group.give(group.leader, {control::peer_message{group.follower, said}});
+    group.dispatch(group.leader,
+                   {control::peer_message{group.follower, forged}});
     cr_assert_eq(group.nodes.at(group.leader)->log().term(), term + 9);
 }
 
 Test(control_reducer, claim_when_repeated_is_in_progress_and_then_recorded)
 {
     led_group group;
-    group.say(group.leader, link::registration_request{1});
-    cr_assert(group.last_told<link::registration_reply>(group.leader)
+    group.send_from_entry_host(group.leader, link::registration_request{1});
+    cr_assert(group.last_sent<link::registration_reply>(group.leader)
                   .result.accepted);
-    group.say(group.leader, claim_of(1, "r1"));
+    group.send_from_entry_host(group.leader, claim_of(1, "r1"));
     group.expect_verdict<once::claim_granted>(1);
-    group.say(group.leader, claim_of(2, "r2"));
+    group.send_from_entry_host(group.leader, claim_of(2, "r2"));
     group.expect_verdict<once::claim_in_progress>(2);
 
     once::recorded_answer const answer{201, "a/b", {1, 2}, false};
-    group.say(
+    group.send_from_entry_host(
         group.leader,
         link::once_request{3, once::complete{key, request_id("r1"), answer}});
-    cr_assert(group.last_told<link::settle_reply>(group.leader).result ==
+    cr_assert(group.last_sent<link::settle_reply>(group.leader).result ==
               once::settle_result::done);
-    group.say(group.leader, claim_of(4, "r2"));
+    group.send_from_entry_host(group.leader, claim_of(4, "r2"));
     group.expect_verdict<once::claim_recorded>(4);
     link::claim_reply const reply =
-        group.last_told<link::claim_reply>(group.leader);
+        group.last_sent<link::claim_reply>(group.leader);
     cr_assert(std::get<once::claim_recorded>(reply.verdict).answer == answer);
 }
 
 Test(control_reducer, claim_at_a_follower_is_refused_with_the_leaders_name)
 {
     led_group group;
-    group.say(group.follower, claim_of(7, "r1"));
+    group.send_from_entry_host(group.follower, claim_of(7, "r1"));
     link::leader_notice const notice =
-        group.last_told<link::leader_notice>(group.follower);
+        group.last_sent<link::leader_notice>(group.follower);
     cr_assert_eq(notice.refused_number, 7U);
     cr_assert(notice.leader == control_host(group.leader));
 }
@@ -229,19 +231,19 @@
 Test(control_reducer, read_at_an_old_leader_after_its_lease_is_refused)
 {
     led_group group;
-    group.ask(group.leader, 1, control::read_configuration{});
+    group.request(group.leader, 1, control::read_configuration{});
     cr_assert(std::holds_alternative<control::configuration_reply>(
         group.answer_to(1)));
     group.isolated = {group.leader};
     group.frozen = {group.leader};
-    std::size_t const next = group.lead();
-    group.ask(next, 2, change("a", 0));
+    std::size_t const next = group.wait_for_leader();
+    group.request(next, 2, change("a", 0));
     group.deliver();
     cr_assert(outcome_of(group.answer_to(2)) ==
               catalog::change_outcome(catalog::change_accepted{1}));
 
     group.frozen.clear();
-    group.ask(group.leader, 3, control::read_configuration{});
+    group.request(group.leader, 3, control::read_configuration{});
     absl::Status const refused = refusal_of(group.answer_to(3));
     cr_assert(kind_of(refused) == error_kind::no_quorum, "%s",
               std::string(refused.message()).c_str());
@@ -253,13 +255,13 @@
     std::vector<control::control_event> events;
     for (std::uint64_t number = 1; number <= 5; ++number)
     {
-        control::operator_asked asked;
-        asked.number = number;
-        asked.request = change(std::to_string(number).c_str(), 0);
-        events.emplace_back(asked);
+        control::operator_request_received received;
+        received.number = number;
+        received.request = change(std::to_string(number).c_str(), 0);
+        events.emplace_back(received);
     }
     std::size_t const before = group.syncs;
-    group.give(group.leader, events);
+    group.dispatch(group.leader, events);
     cr_assert_eq(group.syncs, before + 1);
     group.deliver();
     cr_assert(outcome_of(group.answer_to(1)) ==
@@ -273,7 +275,8 @@
 Test(control_reducer, entry_host_whose_link_ended_is_no_control_host)
 {
     led_group group;
-    group.give(group.leader, {control::peer_disconnected{group.entry_link}});
+    group.dispatch(group.leader,
+                   {control::peer_disconnected{group.entry_link}});
     group.advance(20);
     for (agreement::member const& one :
          group.nodes.at(group.leader)->log().membership().members)
@@ -285,18 +288,18 @@
 Test(control_reducer, orders_when_accepted_are_published_and_read_back)
 {
     led_group group;
-    group.ask(group.leader, 1,
-              control::submit_orders{{5, bytes{'t', 'e', 'x', 't'}}});
+    group.request(group.leader, 1,
+                  control::submit_orders{{5, bytes{'t', 'e', 'x', 't'}}});
     group.advance(3);
     cr_expect(std::get<catalog::order_outcome>(group.answer_to(1)) ==
               catalog::order_outcome::taken);
-    group.ask(group.leader, 2, control::read_orders{});
+    group.request(group.leader, 2, control::read_orders{});
     group.advance(3);
     control::orders_reply const read =
         std::get<control::orders_reply>(group.answer_to(2));
     cr_expect_eq(read.version, 5U);
     cr_expect(read.document == (bytes{'t', 'e', 'x', 't'}));
-    group.ask(group.follower, 3, control::read_orders{});
+    group.request(group.follower, 3, control::read_orders{});
     group.advance(3);
     cr_expect(kind_of(refusal_of(group.answer_to(3))) ==
               error_kind::not_leader);
@@ -307,11 +310,11 @@
 Test(control_reducer, orders_are_not_read_from_a_leader_without_a_quorum)
 {
     led_group group;
-    group.ask(group.leader, 1, control::submit_orders{{5, bytes{'a'}}});
+    group.request(group.leader, 1, control::submit_orders{{5, bytes{'a'}}});
     group.advance(3);
     group.isolated.insert(group.leader);
     group.advance(9); // Its lease is over, its office is not.
-    group.ask(group.leader, 2, control::read_orders{});
+    group.request(group.leader, 2, control::read_orders{});
     group.advance(30);
     cr_expect(std::holds_alternative<absl::Status>(group.answer_to(2)));
 }
@@ -326,7 +329,7 @@
     control::control_reducer host(settings, process_seed(settings.self, 1));
     instant const now = instant{} + std::chrono::hours(1);
     discovery::list_changes remembered;
-    remembered.whole = true;
+    remembered.is_full = true;
     remembered.target = {7, 3};
     remembered.put.emplace_back();
     remembered.put.back().upstream.id = upstream_id("a");
@@ -334,7 +337,7 @@
         control::control_started{{}, remembered},
         control::peer_connected{1, {host_id("e1"), link::peer_role::entry, 1}},
         control::peer_message{1, link::upstream_request{}}};
-    std::size_t told = 0;
+    std::size_t sent_upstreams = 0;
     for (control::control_effect const& effect : host.reduce(events, now))
     {
         control::send_to_peer const* const sent =
@@ -343,9 +346,9 @@
             sent == nullptr
                 ? nullptr
                 : std::get_if<link::upstream_update>(&sent->content);
-        told += update == nullptr ? 0 : update->changes.put.size();
+        sent_upstreams += update == nullptr ? 0 : update->changes.put.size();
     }
-    cr_expect_eq(told, 1U);
+    cr_expect_eq(sent_upstreams, 1U);
 }
 
 namespace
@@ -363,33 +366,33 @@
         control::control_started started;
         started.plan =
             link::region_plan{3, {{service_id("s"), region_id("far"), 600}}};
-        this->give({started});
+        this->dispatch({started});
     }
 
-    void give(control::control_event const& event)
+    void dispatch(control::control_event const& event)
     {
-        this->said = this->host->reduce({&event, 1}, this->now);
+        this->last_effects = this->host->reduce({&event, 1}, this->now);
     }
 
     void connect(link::link_number number, link::peer_role role)
     {
-        this->give(control::peer_connected{
+        this->dispatch(control::peer_connected{
             number, {host_id("h" + std::to_string(number)), role, 1}});
     }
 
     /// An entry host of that region says that it is there.
-    void hear(link::link_number number, std::string const& region)
+    void send_heartbeat(link::link_number number, std::string const& region)
     {
         link::entry_presence presence;
         presence.region = region_id(region);
-        this->give(control::peer_message{number, presence});
+        this->dispatch(control::peer_message{number, presence});
     }
 
     /// Plans that the last event had sent.
     std::vector<link::region_plan> plans() const
     {
         std::vector<link::region_plan> found;
-        for (control::control_effect const& effect : this->said)
+        for (control::control_effect const& effect : this->last_effects)
         {
             control::send_to_peer const* const sent =
                 std::get_if<control::send_to_peer>(&effect);
@@ -407,7 +410,7 @@
 
     instant now = instant{} + std::chrono::hours(1);
     std::optional<control::control_reducer> host;
-    std::vector<control::control_effect> said;
+    std::vector<control::control_effect> last_effects;
 };
 
 } // namespace
@@ -420,13 +423,13 @@
 {
     planned_control_host host;
     host.connect(1, link::peer_role::entry);
-    host.hear(1, "r");
+    host.send_heartbeat(1, "r");
     cr_assert_eq(host.plans().size(), 1U);
     cr_expect(host.plans().front() == *host.host->plan());
-    host.hear(1, "r");
+    host.send_heartbeat(1, "r");
     cr_expect(host.plans().empty(), "a later heartbeat asks for no plan");
     host.connect(2, link::peer_role::entry);
-    host.hear(2, "other");
+    host.send_heartbeat(2, "other");
     cr_expect(host.plans().empty(), "it is another region's plan");
 }
 
@@ -435,11 +438,11 @@
     planned_control_host host;
     host.connect(1, link::peer_role::control);
     host.connect(2, link::peer_role::entry);
-    host.give(control::peer_message{1, link::region_plan{2, {}}});
+    host.dispatch(control::peer_message{1, link::region_plan{2, {}}});
     cr_expect_eq(host.host->plan()->term, 3U);
-    host.give(control::peer_message{2, link::region_plan{9, {}}});
+    host.dispatch(control::peer_message{2, link::region_plan{9, {}}});
     cr_expect_eq(host.host->plan()->term, 3U);
-    host.give(control::peer_message{1, link::region_plan{4, {}}});
+    host.dispatch(control::peer_message{1, link::region_plan{4, {}}});
     cr_expect_eq(host.host->plan()->term, 4U);
 }
 
@@ -451,14 +454,14 @@
     group.isolated.insert(group.leader);
     std::size_t const other = (group.follower + 1) % control_group::hosts;
     link::crash_report const report{{{9, 0, {upstream_id("u1")}}}};
-    group.say(group.follower, report);
-    std::vector<link::message> const& told =
-        group.told[{other, led_group::entry_link}];
-    std::size_t const said = told.size();
-    cr_expect(group.last_told<link::crash_report>(other).records ==
+    group.send_from_entry_host(group.follower, report);
+    std::vector<link::message> const& sent =
+        group.sent_to_entry_hosts[{other, led_group::entry_link}];
+    std::size_t const sent_once = sent.size();
+    cr_expect(group.last_sent<link::crash_report>(other).records ==
               report.records);
-    group.say(group.follower, report);
-    cr_expect_eq(told.size(), said);
+    group.send_from_entry_host(group.follower, report);
+    cr_expect_eq(sent.size(), sent_once);
 }
 
 // Guards against entry hosts that start without knowing what crashes
@@ -466,14 +469,15 @@
 Test(control_reducer, crash_records_go_to_a_host_that_is_linked)
 {
     led_group group;
-    group.say(group.follower,
-              link::crash_report{{{9, 0, {upstream_id("u1")}}}});
+    group.send_from_entry_host(
+        group.follower, link::crash_report{{{9, 0, {upstream_id("u1")}}}});
     constexpr link::link_number second = led_group::entry_link + 1;
     group.connect(group.leader, second, host_id("e2"), link::peer_role::entry);
     bool found = false;
-    for (link::message const& each : group.told[{group.leader, second}])
+    for (link::message const& sent :
+         group.sent_to_entry_hosts[{group.leader, second}])
     {
-        found = found || std::holds_alternative<link::crash_report>(each);
+        found = found || std::holds_alternative<link::crash_report>(sent);
     }
     cr_expect(found);
 }
@@ -486,16 +490,17 @@
     link::limit_notice const notice{
         host_id("e1"),
         {{upstream_id("u1"), 2.5, std::chrono::milliseconds(3), 4}}};
-    group.say(group.follower, notice);
-    for (std::size_t place = 0; place < control_group::hosts; ++place)
+    group.send_from_entry_host(group.follower, notice);
+    for (std::size_t index = 0; index < control_group::hosts; ++index)
     {
-        std::size_t heard = 0;
-        for (link::message const& each :
-             group.told[{place, led_group::entry_link}])
+        std::size_t notices = 0;
+        for (link::message const& sent :
+             group.sent_to_entry_hosts[{index, led_group::entry_link}])
         {
-            heard += std::holds_alternative<link::limit_notice>(each) ? 1U : 0U;
+            notices +=
+                std::holds_alternative<link::limit_notice>(sent) ? 1U : 0U;
         }
-        cr_expect_eq(heard, place == group.follower ? 0U : 1U);
+        cr_expect_eq(notices, index == group.follower ? 0U : 1U);
     }
 }
 
@@ -505,18 +510,18 @@
     led_group group;
     link::crash_report const report{
         {{9, 0, {upstream_id("u1"), upstream_id("u2"), upstream_id("u3")}}}};
-    group.say(group.follower, report);
-    group.ask(group.leader, 1, control::lift_crash_record{9, "alba"});
+    group.send_from_entry_host(group.follower, report);
+    group.request(group.leader, 1, control::lift_crash_record{9, "alba"});
     group.deliver();
     cr_expect(std::holds_alternative<control::done_reply>(group.answer_to(1)));
-    for (std::size_t place = 0; place < control_group::hosts; ++place)
+    for (std::size_t index = 0; index < control_group::hosts; ++index)
     {
         std::vector<policy::crash_record> const held =
-            group.nodes.at(place)->crash_records().all();
+            group.nodes.at(index)->crash_records().all();
         cr_assert_eq(held.size(), 1U);
         cr_expect(held.front().ended.empty());
     }
-    group.ask(group.leader, 2, control::lift_crash_record{9, "alba"});
+    group.request(group.leader, 2, control::lift_crash_record{9, "alba"});
     cr_expect(kind_of(refusal_of(group.answer_to(2))) ==
               error_kind::unknown_name);
 }
--- a/tests/unit/daemon/message_memory_test.cpp
+++ b/tests/unit/daemon/message_memory_test.cpp
@@ -25,7 +25,7 @@
 list_changes whole_listing()
 {
     list_changes whole;
-    whole.whole = true;
+    whole.is_full = true;
     whole.target = {7, 3};
     whole.put.emplace_back();
     whole.put.back().upstream.id = upstream_id("a");
@@ -84,7 +84,7 @@
     kept.write(start);
     std::optional<list_changes> const found = kept.found_later();
     cr_assert(found.has_value());
-    cr_expect(found->whole);
+    cr_expect(found->is_full);
     cr_expect(found->target == whole_listing().target);
     cr_assert_eq(found->put.size(), 1U);
     cr_expect(found->put.front().upstream == whole_listing().put[0].upstream);
--- a/tests/unit/daemon/operator_api_test.cpp
+++ b/tests/unit/daemon/operator_api_test.cpp
@@ -138,19 +138,20 @@
         std::get<control::read_configuration>(
             read("GET", "/v1/configuration").value());
     cr_expect_eq(newest.wanted, 0U);
-    cr_expect_not(newest.may_be_stale);
+    cr_expect_not(newest.allow_stale);
     control::read_configuration const old =
         std::get<control::read_configuration>(
             read("GET", "/v1/configuration?revision=7&stale").value());
     cr_expect_eq(old.wanted, 7U);
-    cr_expect(old.may_be_stale);
+    cr_expect(old.allow_stale);
     for (std::pair<char const*, std::size_t> const& row :
          {std::pair{"/v1/audit", std::size_t{100}},
           std::pair{"/v1/audit?most=3", std::size_t{3}},
           std::pair{"/v1/audit?most=5000", std::size_t{1000}}})
     {
         cr_expect_eq(
-            std::get<control::read_audit>(read("GET", row.first).value()).most,
+            std::get<control::read_audit>(read("GET", row.first).value())
+                .max_entries,
             row.second);
     }
 }
--- a/tests/unit/daemon/own_control_adapter_test.cpp
+++ b/tests/unit/daemon/own_control_adapter_test.cpp
@@ -19,7 +19,7 @@
         R"("address":"127.0.0.1:81","slots":-1}],"next":"p2"})");
     cr_assert(page.ok());
     cr_assert_eq(page->upstreams.size(), 1U);
-    cr_expect(page->upstreams.front().cold_left == 250ms);
+    cr_expect(page->upstreams.front().cold_remaining == 250ms);
     cr_expect_eq(page->unreadable, 4U);
     cr_expect(page->next == "p2");
     cr_expect_not(own_control_adapter::read_list_page("{}").ok());
--- a/tests/unit/discovery/list_reader_test.cpp
+++ b/tests/unit/discovery/list_reader_test.cpp
@@ -40,16 +40,16 @@
     std::optional<page_call> const first = reader.next_call(start);
     cr_assert(first.has_value());
     cr_expect(first->page.empty());
-    cr_expect_not(
-        reader.page_read(first->number, page("a", "p2"), start).has_value());
+    cr_expect_not(reader.page_received(first->number, page("a", "p2"), start)
+                      .has_value());
     cr_expect_not(reader.next_call(start).has_value(), "faster than allowed");
     std::optional<page_call> const second = reader.next_call(start + 500ms);
     cr_assert(second.has_value());
     cr_expect(second->page == "p2");
-    auto const whole =
-        reader.page_read(second->number, page("b", ""), start + 510ms);
-    cr_assert(whole.has_value());
-    cr_expect_eq(whole->size(), 2U);
+    auto const upstreams =
+        reader.page_received(second->number, page("b", ""), start + 510ms);
+    cr_assert(upstreams.has_value());
+    cr_expect_eq(upstreams->size(), 2U);
 }
 
 // The platform bounds the calls of all hosts together. Two hosts may read at
@@ -67,7 +67,8 @@
         if (call.has_value())
         {
             ++calls;
-            reader.page_read(call->number, page("a", "next"), start + passed);
+            reader.page_received(call->number, page("a", "next"),
+                                 start + passed);
         }
     }
     cr_expect_leq(calls, 21U);
@@ -81,17 +82,17 @@
     list_reader reader({});
     reader.set_active(true, start);
     page_call const first = *reader.next_call(start);
-    reader.page_read(first.number, page("a", "p2"), start);
+    reader.page_received(first.number, page("a", "p2"), start);
     page_call const second = *reader.next_call(start + 400ms);
     reader.call_failed(second.number, start + 400ms);
     cr_expect_not(reader.next_call(start + 500ms).has_value());
     std::optional<page_call> const again = reader.next_call(start + 700ms);
     cr_assert(again.has_value());
     cr_expect(again->page.empty());
-    auto const whole =
-        reader.page_read(again->number, page("a", ""), start + 700ms);
-    cr_assert(whole.has_value());
-    cr_expect_eq(whole->size(), 1U);
+    auto const upstreams =
+        reader.page_received(again->number, page("a", ""), start + 700ms);
+    cr_assert(upstreams.has_value());
+    cr_expect_eq(upstreams->size(), 1U);
 }
 
 // A call gets no answer at all; its answer comes after the next call was
@@ -104,8 +105,9 @@
     cr_expect_not(reader.next_call(start + 1100ms).has_value());
     std::optional<page_call> const again = reader.next_call(start + 1400ms);
     cr_assert(again.has_value());
-    cr_expect_not(reader.page_read(lost.number, page("old", ""), start + 1400ms)
-                      .has_value());
+    cr_expect_not(
+        reader.page_received(lost.number, page("old", ""), start + 1400ms)
+            .has_value());
 }
 
 Test(list_reader, host_that_does_not_lead_makes_no_call)
@@ -116,7 +118,7 @@
     page_call const open = *reader.next_call(start);
     reader.set_active(false, start);
     cr_expect_not(
-        reader.page_read(open.number, page("a", ""), start).has_value());
+        reader.page_received(open.number, page("a", ""), start).has_value());
     cr_expect_not(reader.next_call(start + 10s).has_value());
 }
 
@@ -135,8 +137,8 @@
         std::optional<page_call> const call = reader.next_call(now);
         cr_assert(call.has_value());
         now += 70ms;
-        reader.page_read(call->number, page("a", number < 16 ? "next" : ""),
-                         now);
+        reader.page_received(call->number, page("a", number < 16 ? "next" : ""),
+                             now);
     }
     cr_assert(reader.last_read().has_value());
     cr_expect_eq(*reader.last_read() - start, 16 * 70ms);
@@ -175,7 +177,7 @@
             if (when == now)
             {
                 int const read = ++pages[zones[number]];
-                reader.page_read(
+                reader.page_received(
                     number, page("u", read < pages_a_zone ? "next" : ""), now);
             }
         }
@@ -194,23 +196,23 @@
     settings.calls_per_second = 1000;
     settings.zones = {zone_id("z0"), zone_id("z1")};
     list_reader reader(settings);
-    reader.expect(settings.split_from, true);
+    reader.expect(settings.zone_split_threshold, true);
     reader.set_active(true, start);
     page_call const one = *reader.next_call(start);
     page_call const other = *reader.next_call(start + 10ms);
     cr_expect(one.zone == zone_id("z0"));
     cr_expect(other.zone == zone_id("z1"));
-    cr_expect_not(
-        reader.page_read(one.number, page("a", ""), start + 20ms).has_value());
+    cr_expect_not(reader.page_received(one.number, page("a", ""), start + 20ms)
+                      .has_value());
     reader.call_failed(other.number, start + 30ms);
     cr_expect_not(reader.next_call(start + 100ms).has_value());
     std::optional<page_call> const again = reader.next_call(start + 300ms);
     cr_assert(again.has_value());
     cr_expect(again->zone == zone_id("z1"));
-    auto const whole =
-        reader.page_read(again->number, page("b", ""), start + 310ms);
-    cr_assert(whole.has_value());
-    cr_expect_eq(whole->size(), 2U);
+    auto const upstreams =
+        reader.page_received(again->number, page("b", ""), start + 310ms);
+    cr_assert(upstreams.has_value());
+    cr_expect_eq(upstreams->size(), 2U);
 }
 
 // The list has upstreams in a zone that this host was not told of. Read by
@@ -219,7 +221,7 @@
 {
     list_reader_settings settings;
     settings.zones = {zone_id("z0")};
-    settings.split_from = 1;
+    settings.zone_split_threshold = 1;
     list_reader reader(settings);
     reader.set_active(true, start);
     for (int reading = 0; reading < 3; ++reading)
@@ -228,7 +230,7 @@
         std::optional<page_call> const call = reader.next_call(now);
         cr_assert(call.has_value());
         cr_expect(call->zone.empty());
-        reader.page_read(call->number, page("a", ""), now);
+        reader.page_received(call->number, page("a", ""), now);
     }
 }
 
@@ -268,7 +270,7 @@
             while (std::optional<page_call> const call =
                        this->reader.next_call(this->now))
             {
-                this->surveyed_pages += call->zone.empty() ? 1 : 0;
+                this->full_scan_pages += call->zone.empty() ? 1 : 0;
                 this->answers.emplace(this->now + answer_time, *call);
             }
             while (!this->answers.empty() &&
@@ -283,7 +285,7 @@
     list_reader reader;
     instant now = start;
     bool has_new_zone = false;
-    int surveyed_pages = 0;
+    int full_scan_pages = 0;
     duration longest_reading{};
     std::size_t listed = 0;
 
@@ -301,7 +303,7 @@
         {
             told.upstreams.push_back(told.upstreams.front());
         }
-        for (discovery::told_upstream& each : told.upstreams)
+        for (discovery::reported_upstream& each : told.upstreams)
         {
             each.upstream.zone = of_all ? zone_id("z0") : call.zone;
         }
@@ -309,17 +311,18 @@
         {
             told.upstreams.back().upstream.zone = zone_id("new");
         }
-        auto const whole = this->reader.page_read(call.number, told, this->now);
-        if (whole.has_value())
+        auto const upstreams =
+            this->reader.page_received(call.number, told, this->now);
+        if (upstreams.has_value())
         {
             this->longest_reading =
-                std::max(this->longest_reading, this->now - this->read_at);
-            this->read_at = this->now;
-            this->listed = whole->size();
+                std::max(this->longest_reading, this->now - this->last_read_at);
+            this->last_read_at = this->now;
+            this->listed = upstreams->size();
         }
     }
 
-    instant read_at = start;
+    instant last_read_at = start;
     std::multimap<instant, page_call> answers;
 };
 
@@ -332,7 +335,7 @@
     long_list list;
     list.run_for(120s);
     cr_expect_leq(list.longest_reading.count(), duration(2000ms).count());
-    cr_expect_geq(list.surveyed_pages,
+    cr_expect_geq(list.full_scan_pages,
                   long_list::zones * long_list::pages_a_zone);
 }
 
@@ -343,12 +346,13 @@
     list_reader_settings settings;
     settings.calls_per_second = 1000;
     settings.zones = {zone_id("z0")};
-    settings.split_from = 1;
+    settings.zone_split_threshold = 1;
     list_reader reader(settings);
     reader.expect(1, true);
     reader.set_active(true, start);
-    std::size_t surveys = 0;
-    for (std::size_t reading = 0; reading < 3 * settings.survey_each; ++reading)
+    std::size_t full_scans = 0;
+    for (std::size_t reading = 0; reading < 3 * settings.readings_per_full_scan;
+         ++reading)
     {
         instant const now = start + static_cast<int>(reading) * 1s;
         std::optional<page_call> call = reader.next_call(now);
@@ -357,15 +361,16 @@
         one.upstreams.back().upstream.zone = zone_id("z0");
         if (call->zone.empty())
         {
-            ++surveys;
-            reader.page_read(call->number, one, now);
+            ++full_scans;
+            reader.page_received(call->number, one, now);
             call = reader.next_call(now + 10ms);
             cr_assert(call.has_value());
         }
         cr_expect(call->zone == zone_id("z0"));
-        cr_expect(reader.page_read(call->number, one, now + 10ms).has_value());
+        cr_expect(
+            reader.page_received(call->number, one, now + 10ms).has_value());
     }
-    cr_expect_eq(surveys, 3U);
+    cr_expect_eq(full_scans, 3U);
 }
 
 // An upstream is in a zone that this host was not told of. Read by zone it
@@ -375,11 +380,11 @@
     long_list list;
     list.run_for(10s);
     cr_expect_eq(list.listed, 1800U);
-    list.surveyed_pages = 0;
+    list.full_scan_pages = 0;
     list.has_new_zone = true;
     list.run_for(60s);
     // Two surveys' time; from then on every reading is a whole one.
-    int const surveyed = list.surveyed_pages;
+    int const pages_before = list.full_scan_pages;
     list.run_for(10s);
-    cr_expect_geq(list.surveyed_pages - surveyed, 36);
+    cr_expect_geq(list.full_scan_pages - pages_before, 36);
 }
--- a/tests/unit/discovery/upstream_listing_test.cpp
+++ b/tests/unit/discovery/upstream_listing_test.cpp
@@ -8,9 +8,9 @@
 
 using namespace bilberrylead;
 using namespace std::chrono_literals;
+using discovery::apply_result;
 using discovery::list_changes;
 using discovery::listed_upstream;
-using discovery::take_result;
 using discovery::upstream_listing;
 
 namespace
@@ -36,8 +36,9 @@
 Test(upstream_listing, second_reading_without_news_tells_nobody)
 {
     upstream_listing listing;
-    cr_assert(listing.read({entry("a")}, 3, start).has_value());
-    cr_expect_not(listing.read({entry("a")}, 3, start + 1s).has_value());
+    cr_assert(listing.apply_reading({entry("a")}, 3, start).has_value());
+    cr_expect_not(
+        listing.apply_reading({entry("a")}, 3, start + 1s).has_value());
     discovery::list_position const first{3, 1};
     cr_expect(listing.position() == first);
 }
@@ -45,9 +46,9 @@
 Test(upstream_listing, only_what_differs_is_told)
 {
     upstream_listing listing;
-    listing.read({entry("a"), entry("b"), entry("c")}, 3, start);
-    std::optional<list_changes> const changes =
-        listing.read({entry("a"), entry("b", true), entry("d")}, 3, start);
+    listing.apply_reading({entry("a"), entry("b"), entry("c")}, 3, start);
+    std::optional<list_changes> const changes = listing.apply_reading(
+        {entry("a"), entry("b", true), entry("d")}, 3, start);
     cr_assert(changes.has_value());
     cr_expect_eq(changes->put.size(), 2U);
     cr_assert_eq(changes->removed.size(), 1U);
@@ -59,12 +60,14 @@
 Test(upstream_listing, cold_time_that_runs_down_is_no_news)
 {
     upstream_listing listing;
-    listing.read({entry("a", false, start + 3s)}, 3, start);
-    cr_expect_not(
-        listing.read({entry("a", false, start + 3s + 100ms)}, 3, start + 1s)
+    listing.apply_reading({entry("a", false, start + 3s)}, 3, start);
+    cr_expect_not(listing
+                      .apply_reading({entry("a", false, start + 3s + 100ms)}, 3,
+                                     start + 1s)
+                      .has_value());
+    cr_expect(
+        listing.apply_reading({entry("a", false, start + 9s)}, 3, start + 2s)
             .has_value());
-    cr_expect(listing.read({entry("a", false, start + 9s)}, 3, start + 2s)
-                  .has_value());
 }
 
 // A leader is frozen while another one takes over and reads the list. When
@@ -72,15 +75,17 @@
 Test(upstream_listing, replaced_reader_when_it_wakes_is_not_believed)
 {
     upstream_listing old_reader;
-    list_changes const old_news = *old_reader.read({entry("gone")}, 3, start);
+    list_changes const old_changes =
+        *old_reader.apply_reading({entry("gone")}, 3, start);
     upstream_listing new_reader;
-    list_changes const news = *new_reader.read({entry("a")}, 4, start);
+    list_changes const changes =
+        *new_reader.apply_reading({entry("a")}, 4, start);
 
     upstream_listing held;
-    cr_assert(held.take(news, start) == take_result::taken);
-    cr_expect(held.take(old_news, start) == take_result::not_newer);
-    cr_expect(held.take(old_reader.whole(start), start) ==
-              take_result::not_newer);
+    cr_assert(held.apply(changes, start) == apply_result::applied);
+    cr_expect(held.apply(old_changes, start) == apply_result::not_newer);
+    cr_expect(held.apply(old_reader.full_listing(start), start) ==
+              apply_result::not_newer);
     cr_expect(held.upstreams().contains(upstream_id("a")));
 }
 
@@ -90,14 +95,15 @@
 {
     upstream_listing reader;
     upstream_listing held;
-    cr_assert(held.take(*reader.read({entry("a")}, 3, start), start) ==
-              take_result::taken);
-    reader.read({entry("a"), entry("b")}, 3, start);
+    cr_assert(held.apply(*reader.apply_reading({entry("a")}, 3, start),
+                         start) == apply_result::applied);
+    reader.apply_reading({entry("a"), entry("b")}, 3, start);
     list_changes const third =
-        *reader.read({entry("a"), entry("b"), entry("c")}, 3, start);
-    cr_expect(held.take(third, start) == take_result::other_base);
+        *reader.apply_reading({entry("a"), entry("b"), entry("c")}, 3, start);
+    cr_expect(held.apply(third, start) == apply_result::base_mismatch);
     cr_expect_eq(held.upstreams().size(), 1U);
-    cr_expect(held.take(reader.whole(start), start) == take_result::taken);
+    cr_expect(held.apply(reader.full_listing(start), start) ==
+              apply_result::applied);
     cr_expect_eq(held.upstreams().size(), 3U);
     cr_expect(held.position() == reader.position());
 }
@@ -108,30 +114,32 @@
 Test(upstream_listing, leaving_upstream_is_told_before_the_whole_list_is_read)
 {
     upstream_listing listing;
-    listing.read({entry("a"), entry("b")}, 3, start);
+    listing.apply_reading({entry("a"), entry("b")}, 3, start);
     upstream_listing follower;
-    follower.take(listing.whole(start), start);
+    follower.apply(listing.full_listing(start), start);
     std::optional<list_changes> const early =
-        listing.read_leaving({entry("a", true)}, 3, start);
+        listing.apply_leaving({entry("a", true)}, 3, start);
     cr_assert(early.has_value());
     cr_expect_eq(early->put.size(), 1U);
     cr_expect(early->removed.empty(), "the rest was not read yet");
-    cr_expect(follower.take(*early, start) == take_result::taken);
+    cr_expect(follower.apply(*early, start) == apply_result::applied);
     cr_expect(follower.upstreams().at(upstream_id("a")).upstream.leaving);
     cr_expect_eq(follower.upstreams().size(), 2U);
     cr_expect_not(
-        listing.read_leaving({entry("a", true)}, 3, start).has_value());
+        listing.apply_leaving({entry("a", true)}, 3, start).has_value());
     cr_expect_not(
-        listing.read({entry("a", true), entry("b")}, 3, start).has_value(),
+        listing.apply_reading({entry("a", true), entry("b")}, 3, start)
+            .has_value(),
         "told once");
 }
 
 Test(upstream_listing, part_of_a_list_adds_nothing_but_leaving)
 {
     upstream_listing listing;
-    listing.read({entry("a")}, 3, start);
-    cr_expect_not(listing.read_leaving({entry("a"), entry("b", true)}, 3, start)
-                      .has_value());
+    listing.apply_reading({entry("a")}, 3, start);
+    cr_expect_not(
+        listing.apply_leaving({entry("a"), entry("b", true)}, 3, start)
+            .has_value());
 }
 
 // A new leader has read no whole list in its term: its followers may hold
@@ -139,7 +147,7 @@
 Test(upstream_listing, part_of_a_list_counts_for_nothing_in_a_new_term)
 {
     upstream_listing listing;
-    listing.read({entry("a")}, 3, start);
+    listing.apply_reading({entry("a")}, 3, start);
     cr_expect_not(
-        listing.read_leaving({entry("a", true)}, 4, start).has_value());
+        listing.apply_leaving({entry("a", true)}, 4, start).has_value());
 }
