--- a/tests/unit/distribution/revision_exchange_test.cpp
+++ b/tests/unit/distribution/revision_exchange_test.cpp
@@ -35,7 +35,7 @@
         bool cut = false;
     };
 
-    struct letter
+    struct envelope
     {
         std::size_t wire = 0;
         std::size_t to = 0;
@@ -57,29 +57,29 @@
     {
         this->wires.push_back({{left, right}});
         std::size_t const number = this->wires.size() - 1;
-        this->give(left, link_opened{number, this->nodes[right].identity});
-        this->give(right, link_opened{number, this->nodes[left].identity});
+        this->dispatch(left, link_opened{number, this->nodes[right].identity});
+        this->dispatch(right, link_opened{number, this->nodes[left].identity});
         return number;
     }
 
     void disconnect(std::size_t number)
     {
         this->wires[number].cut = true;
-        this->give(this->wires[number].ends[0], link_closed{number});
-        this->give(this->wires[number].ends[1], link_closed{number});
+        this->dispatch(this->wires[number].ends[0], link_closed{number});
+        this->dispatch(this->wires[number].ends[1], link_closed{number});
     }
 
-    void give(std::size_t to, exchange_event const& what)
+    void dispatch(std::size_t to, exchange_event const& event)
     {
         for (exchange_effect& effect :
-             this->nodes[to].exchange.reduce(what, this->now))
+             this->nodes[to].exchange.reduce(event, this->now))
         {
             if (send_message* const sent = std::get_if<send_message>(&effect))
             {
                 wire const& over = this->wires[sent->link];
                 std::size_t const other =
                     over.ends[0] == to ? over.ends[1] : over.ends[0];
-                this->letters.push_back(
+                this->in_flight.push_back(
                     {sent->link, other, std::move(sent->content)});
             }
             else
@@ -92,10 +92,10 @@
 
     void deliver_all()
     {
-        while (!this->letters.empty())
+        while (!this->in_flight.empty())
         {
-            letter const next = std::move(this->letters.front());
-            this->letters.pop_front();
+            envelope const next = std::move(this->in_flight.front());
+            this->in_flight.pop_front();
             if (!this->wires[next.wire].cut)
             {
                 this->deliver(next);
@@ -103,45 +103,45 @@
         }
     }
 
-    void deliver(letter const& next)
+    void deliver(envelope const& next)
     {
-        if (link::subscription const* held =
+        if (link::subscription const* content =
                 std::get_if<link::subscription>(&next.content))
         {
-            this->give(next.to, subscription_received{next.wire, *held});
+            this->dispatch(next.to, subscription_received{next.wire, *content});
         }
-        else if (link::revision_announcement const* held =
+        else if (link::revision_announcement const* content =
                      std::get_if<link::revision_announcement>(&next.content))
         {
-            this->give(next.to, announcement_received{next.wire, *held});
+            this->dispatch(next.to, announcement_received{next.wire, *content});
         }
-        else if (link::configuration_update const* held =
+        else if (link::configuration_update const* content =
                      std::get_if<link::configuration_update>(&next.content))
         {
             ++this->updates_delivered;
-            this->give(next.to, update_received{next.wire, *held});
+            this->dispatch(next.to, update_received{next.wire, *content});
         }
     }
 
-    void pass(duration time)
+    void advance(duration time)
     {
         this->now += time;
         for (std::size_t number = 0; number < this->nodes.size(); ++number)
         {
-            this->give(number, exchange_tick{});
+            this->dispatch(number, exchange_tick{});
         }
         this->deliver_all();
     }
 
     void publish(std::size_t source, revision number)
     {
-        this->give(source, published{number, document_of(number)});
+        this->dispatch(source, revision_published{number, document_of(number)});
     }
 
     instant now{};
     std::vector<node> nodes;
     std::vector<wire> wires;
-    std::deque<letter> letters;
+    std::deque<envelope> in_flight;
     std::size_t updates_delivered = 0;
 };
 
@@ -155,8 +155,8 @@
     f.publish(source, 4);
     f.connect(source, entry);
     f.deliver_all();
-    cr_assert_eq(f.nodes[entry].exchange.held(), 4U);
-    cr_assert_eq(f.nodes[source].exchange.acknowledged(4), 1U);
+    cr_assert_eq(f.nodes[entry].exchange.current_revision(), 4U);
+    cr_assert_eq(f.nodes[source].exchange.count_acknowledged(4), 1U);
 }
 
 Test(revision_exchange, content_with_three_sources_and_a_neighbour_comes_once)
@@ -166,21 +166,21 @@
     std::size_t const second = f.add("c2", true);
     std::size_t const third = f.add("c3", true);
     std::size_t const entry = f.add("e1", false);
-    std::size_t const neighbour = f.add("e2", false);
+    std::size_t const peer = f.add("e2", false);
     for (std::size_t const source : {first, second, third})
     {
         f.connect(source, entry);
-        f.connect(source, neighbour);
+        f.connect(source, peer);
     }
-    f.connect(entry, neighbour);
+    f.connect(entry, peer);
     f.deliver_all();
     for (std::size_t const source : {first, second, third})
     {
         f.publish(source, 1);
     }
     f.deliver_all();
-    cr_assert_eq(f.nodes[entry].exchange.held(), 1U);
-    cr_assert_eq(f.nodes[neighbour].exchange.held(), 1U);
+    cr_assert_eq(f.nodes[entry].exchange.current_revision(), 1U);
+    cr_assert_eq(f.nodes[peer].exchange.current_revision(), 1U);
     cr_assert_eq(f.updates_delivered, 2U);
 }
 
@@ -191,17 +191,17 @@
 {
     exchange_fixture f;
     std::size_t const source = f.add("c1", true);
-    std::size_t const neighbour = f.add("e1", false);
-    std::size_t const uplink = f.connect(source, neighbour);
+    std::size_t const peer = f.add("e1", false);
+    std::size_t const uplink = f.connect(source, peer);
     f.deliver_all();
     f.publish(source, 9);
     f.deliver_all();
     f.disconnect(uplink);
 
     std::size_t const restarted = f.add("e2", false);
-    f.connect(neighbour, restarted);
+    f.connect(peer, restarted);
     f.deliver_all();
-    cr_assert_eq(f.nodes[restarted].exchange.held(), 9U);
+    cr_assert_eq(f.nodes[restarted].exchange.current_revision(), 9U);
 }
 
 // A neighbour was frozen with revision 3 and wakes up when revision 7 is in
@@ -217,9 +217,9 @@
     f.deliver_all();
     for (revision const late : {3U, 7U, 6U})
     {
-        f.give(entry, update_received{link, {late, 0, {}}});
+        f.dispatch(entry, update_received{link, {late, 0, {}}});
     }
-    cr_assert_eq(f.nodes[entry].exchange.held(), 7U);
+    cr_assert_eq(f.nodes[entry].exchange.current_revision(), 7U);
     cr_assert_eq(f.nodes[entry].installed.size(), 1U);
 }
 
@@ -229,19 +229,19 @@
 Test(revision_exchange, announced_revision_when_not_pushed_is_fetched)
 {
     exchange_fixture f;
-    std::size_t const silent = f.add("c1", true);
+    std::size_t const unresponsive = f.add("c1", true);
     std::size_t const other = f.add("c2", true);
     std::size_t const entry = f.add("e1", false);
-    std::size_t const silent_link = f.connect(silent, entry);
+    std::size_t const unresponsive_link = f.connect(unresponsive, entry);
     f.connect(other, entry);
     f.deliver_all();
-    f.wires[silent_link].cut = true;
-    f.publish(silent, 5);
+    f.wires[unresponsive_link].cut = true;
+    f.publish(unresponsive, 5);
     f.publish(other, 5);
     f.deliver_all();
-    cr_assert_eq(f.nodes[entry].exchange.held(), 0U);
-    f.pass(std::chrono::milliseconds(400));
-    cr_assert_eq(f.nodes[entry].exchange.held(), 5U);
+    cr_assert_eq(f.nodes[entry].exchange.current_revision(), 0U);
+    f.advance(std::chrono::milliseconds(400));
+    cr_assert_eq(f.nodes[entry].exchange.current_revision(), 5U);
 }
 
 // The chosen link closes while an update is on its way. The next link is
@@ -259,7 +259,7 @@
     f.publish(second, 2);
     f.disconnect(chosen);
     f.deliver_all();
-    cr_assert_eq(f.nodes[entry].exchange.held(), 2U);
+    cr_assert_eq(f.nodes[entry].exchange.current_revision(), 2U);
 }
 
 // Five hundred changes pass a host by. It gets the newest one, in one
@@ -279,6 +279,6 @@
     }
     f.connect(source, entry);
     f.deliver_all();
-    cr_assert_eq(f.nodes[entry].exchange.held(), 500U);
+    cr_assert_eq(f.nodes[entry].exchange.current_revision(), 500U);
     cr_assert_eq(f.nodes[entry].installed.size(), 2U);
 }
--- a/tests/unit/link/message_test.cpp
+++ b/tests/unit/link/message_test.cpp
@@ -39,13 +39,13 @@
     discovery::list_changes changes;
     changes.base = {3, 3};
     changes.target = {3, 4};
-    discovery::told_upstream told;
+    discovery::reported_upstream told;
     told.upstream.id = upstream_id("i-1");
     told.upstream.service = service_id("s");
     told.upstream.zone = zone_id("z");
     told.upstream.address = {"127.0.0.1", 81};
     told.upstream.leaving = true;
-    told.cold_left = std::chrono::milliseconds(250);
+    told.cold_remaining = std::chrono::milliseconds(250);
     changes.put = {told, told};
     changes.removed = {upstream_id("i-0")};
     return changes;
--- a/tests/unit/membership/member_planner_test.cpp
+++ b/tests/unit/membership/member_planner_test.cpp
@@ -60,7 +60,7 @@
         host.member = change.action != membership_action::remove;
         host.voter = change.action == membership_action::add_voter;
         host.caught_up = host.member && host.linked;
-        host.silent_for = host.linked ? 0s : host.silent_for;
+        host.unresponsive_for = host.linked ? 0s : host.unresponsive_for;
     }
 }
 
@@ -103,7 +103,7 @@
 void lose(planned_host& host)
 {
     host.linked = false;
-    host.silent_for = 2s;
+    host.unresponsive_for = 2s;
     host.caught_up = false;
 }
 
@@ -175,13 +175,13 @@
         hosts.push_back(successor);
         settle(hosts);
     }
-    std::size_t const alive = static_cast<std::size_t>(
+    std::size_t const responsive = static_cast<std::size_t>(
         std::count_if(hosts.begin(), hosts.end(),
                       [](planned_host const& host)
                       {
                           return host.voter && host.linked;
                       }));
-    cr_expect_eq(alive, 5U);
+    cr_expect_eq(responsive, 5U);
     cr_expect_eq(voters(hosts), 5U);
 }
 
@@ -204,7 +204,7 @@
         if (host.region == region_id("r1"))
         {
             host.linked = true;
-            host.silent_for = 0s;
+            host.unresponsive_for = 0s;
             host.caught_up = host.member;
         }
     }
@@ -249,9 +249,9 @@
                                                      return !host.voter;
                                                  });
     learner->linked = false;
-    learner->silent_for = 2s;
+    learner->unresponsive_for = 2s;
     cr_expect_not(next_change(hosts, two_disks()).has_value());
-    learner->silent_for = 20s;
+    learner->unresponsive_for = 20s;
     auto const change = next_change(hosts, two_disks());
     cr_assert(change.has_value());
     cr_expect(change->action == membership_action::remove);
--- a/tests/unit/platform/decoder_fuzz_test.cpp
+++ b/tests/unit/platform/decoder_fuzz_test.cpp
@@ -101,7 +101,7 @@
             cr_assert(kind_of(read.status()) == error_kind::syntax);
             continue;
         }
-        for (discovery::told_upstream const& told : read->upstreams)
+        for (discovery::reported_upstream const& told : read->upstreams)
         {
             cr_assert_not(told.upstream.id.empty());
             cr_assert_not(told.upstream.service.empty());
--- a/tests/unit/platform/platform_adapter_test.cpp
+++ b/tests/unit/platform/platform_adapter_test.cpp
@@ -225,7 +225,7 @@
     cr_assert_eq(page->upstreams.size(), 2U);
     cr_expect_eq(page->unreadable, 6U);
     cr_expect(page->next == "p-2");
-    cr_expect(page->upstreams[0].cold_left == 500ms);
+    cr_expect(page->upstreams[0].cold_remaining == 500ms);
     cr_expect_not(page->upstreams[0].upstream.leaving);
     cr_expect(page->upstreams[1].upstream.leaving);
 }
--- a/tests/unit/presence/control_link_plan_test.cpp
+++ b/tests/unit/presence/control_link_plan_test.cpp
@@ -49,9 +49,9 @@
 zone_id zone_of(std::vector<group_host> const& hosts, host_id const& id)
 {
     return std::find_if(hosts.begin(), hosts.end(),
-                        [&id](group_host const& each)
+                        [&id](group_host const& host)
                         {
-                            return each.id == id;
+                            return host.id == id;
                         })
         ->zone;
 }
@@ -69,9 +69,9 @@
     cr_expect_leq(chosen.size(), 8U);
     cr_expect(chosen.contains(host_id("b2-1")), "the leader");
     std::map<zone_id, std::size_t> zones;
-    for (host_id const& each : chosen)
+    for (host_id const& host : chosen)
     {
-        ++zones[zone_of(hosts, each)];
+        ++zones[zone_of(hosts, host)];
     }
     cr_expect_eq(zones[zone_id("a1")], 1U);
     cr_expect_eq(zones[zone_id("a2")], 1U);
@@ -91,23 +91,23 @@
 Test(control_links, control_hosts_hear_about_as_many_entry_hosts_each)
 {
     std::vector<group_host> const hosts = group_of(3);
-    std::map<host_id, std::size_t> heard;
+    std::map<host_id, std::size_t> links_by_host;
     constexpr std::size_t entry_hosts = 90;
     for (std::size_t number = 0; number < entry_hosts; ++number)
     {
-        for (host_id const& each : choose_control_links(
+        for (host_id const& host : choose_control_links(
                  hosts, {entry_host(number), region_id("a"), {}}))
         {
-            ++heard[each];
+            ++links_by_host[host];
         }
     }
-    for (group_host const& each : hosts)
+    for (group_host const& host : hosts)
     {
-        if (each.region == region_id("a"))
+        if (host.region == region_id("a"))
         {
             // A third of them each, but for chance.
-            cr_expect_geq(heard[each.id], entry_hosts / 6);
-            cr_expect_leq(heard[each.id], entry_hosts / 2);
+            cr_expect_geq(links_by_host[host.id], entry_hosts / 6);
+            cr_expect_leq(links_by_host[host.id], entry_hosts / 2);
         }
     }
 }
@@ -119,17 +119,17 @@
         choose_control_links(hosts, {entry_host(7), region_id("a"), {}});
     host_id const lost = *before.begin();
     std::erase_if(hosts,
-                  [&lost](group_host const& each)
+                  [&lost](group_host const& host)
                   {
-                      return each.id == lost;
+                      return host.id == lost;
                   });
     std::set<host_id> const after =
         choose_control_links(hosts, {entry_host(7), region_id("a"), {}});
     std::size_t const kept =
         static_cast<std::size_t>(std::count_if(before.begin(), before.end(),
-                                               [&after](host_id const& each)
+                                               [&after](host_id const& host)
                                                {
-                                                   return after.contains(each);
+                                                   return after.contains(host);
                                                }));
     cr_expect_eq(kept, before.size() - 1);
 }
@@ -149,27 +149,27 @@
 {
     control_link_plan plan(entry_host(1), region_id("a"));
     cr_expect(plan.is_searching(start), "nobody is known yet");
-    plan.named(1, group_of(3));
-    plan.leader_named(1, host_id("a1-0"), start);
+    plan.group_received(1, group_of(3));
+    plan.leader_received(1, host_id("a1-0"), start);
     cr_expect_not(plan.is_searching(start));
-    cr_expect_leq(plan.wanted(start).size(), 8U);
-    plan.leader_named(1, {}, start + 1s);
+    cr_expect_leq(plan.desired_links(start).size(), 8U);
+    plan.leader_received(1, {}, start + 1s);
     cr_expect_not(plan.is_searching(start + 2s), "an election");
     cr_expect(plan.is_searching(start + 4s));
-    cr_expect_eq(plan.wanted(start + 4s).size(), 27U);
-    plan.named(2, group_of(3));
-    plan.leader_named(2, host_id("c1-0"), start + 5s);
+    cr_expect_eq(plan.desired_links(start + 4s).size(), 27U);
+    plan.group_received(2, group_of(3));
+    plan.leader_received(2, host_id("c1-0"), start + 5s);
     cr_expect_not(plan.is_searching(start + 5s));
-    cr_expect(plan.wanted(start + 5s).contains(host_id("c1-0")));
+    cr_expect(plan.desired_links(start + 5s).contains(host_id("c1-0")));
 }
 
 // All links are lost at once. Whom to call is still known.
 Test(control_link_plan, closed_links_leave_what_they_named)
 {
     control_link_plan plan(entry_host(1), region_id("a"));
-    plan.named(1, group_of(3));
-    plan.leader_named(1, host_id("a1-0"), start);
-    plan.closed(1);
-    cr_expect_geq(plan.wanted(start + 1s).size(), 7U);
-    cr_expect_eq(plan.wanted(start + 4s).size(), 27U);
+    plan.group_received(1, group_of(3));
+    plan.leader_received(1, host_id("a1-0"), start);
+    plan.link_closed(1);
+    cr_expect_geq(plan.desired_links(start + 1s).size(), 7U);
+    cr_expect_eq(plan.desired_links(start + 4s).size(), 27U);
 }
--- a/tests/unit/presence/entry_table_test.cpp
+++ b/tests/unit/presence/entry_table_test.cpp
@@ -12,7 +12,7 @@
 using namespace bilberrylead;
 using namespace std::chrono_literals;
 using presence::entry_table;
-using presence::steering_question;
+using presence::steering_query;
 using presence::steering_reply;
 
 namespace
@@ -23,14 +23,14 @@
 
 link::entry_presence ready_host(std::uint16_t port, std::string const& region)
 {
-    link::entry_presence said;
-    said.address = {"127.0.0.1", port};
-    said.region = region_id(region);
-    said.ready = true;
-    return said;
+    link::entry_presence heartbeat;
+    heartbeat.address = {"127.0.0.1", port};
+    heartbeat.region = region_id(region);
+    heartbeat.ready = true;
+    return heartbeat;
 }
 
-steering_question from(std::string const& region)
+steering_query query_from(std::string const& region)
 {
     return {region_id(region), zone_id("z")};
 }
@@ -40,9 +40,9 @@
 Test(entry_table, caller_is_sent_to_the_hosts_of_its_region)
 {
     entry_table table({}, test_seed);
-    table.heard(1, host_id("e1"), ready_host(1, "near"), start);
-    table.heard(2, host_id("e2"), ready_host(2, "far"), start);
-    steering_reply const reply = table.answer(from("near"), start);
+    table.record_heartbeat(1, host_id("e1"), ready_host(1, "near"), start);
+    table.record_heartbeat(2, host_id("e2"), ready_host(2, "far"), start);
+    steering_reply const reply = table.reply_to(query_from("near"), start);
     cr_assert_eq(reply.entry_hosts.size(), 1U);
     cr_expect_eq(reply.entry_hosts.front().port, 1);
 }
@@ -50,8 +50,9 @@
 Test(entry_table, region_without_hosts_is_served_by_the_others)
 {
     entry_table table({}, test_seed);
-    table.heard(2, host_id("e2"), ready_host(2, "far"), start);
-    cr_expect_eq(table.answer(from("near"), start).entry_hosts.size(), 1U);
+    table.record_heartbeat(2, host_id("e2"), ready_host(2, "far"), start);
+    cr_expect_eq(table.reply_to(query_from("near"), start).entry_hosts.size(),
+                 1U);
 }
 
 // A host is frozen or cut off: its link stays open and says nothing. Callers
@@ -59,17 +60,19 @@
 Test(entry_table, host_that_fell_silent_is_not_named)
 {
     entry_table table({}, test_seed);
-    table.heard(1, host_id("e1"), ready_host(1, "near"), start);
-    cr_expect_eq(table.answer(from("near"), start + 1s).entry_hosts.size(), 1U);
-    cr_expect(table.answer(from("near"), start + 2s).entry_hosts.empty());
+    table.record_heartbeat(1, host_id("e1"), ready_host(1, "near"), start);
+    cr_expect_eq(
+        table.reply_to(query_from("near"), start + 1s).entry_hosts.size(), 1U);
+    cr_expect(
+        table.reply_to(query_from("near"), start + 2s).entry_hosts.empty());
 }
 
 Test(entry_table, host_whose_link_ended_is_not_named)
 {
     entry_table table({}, test_seed);
-    table.heard(1, host_id("e1"), ready_host(1, "near"), start);
-    table.lost(1);
-    cr_expect(table.answer(from("near"), start).entry_hosts.empty());
+    table.record_heartbeat(1, host_id("e1"), ready_host(1, "near"), start);
+    table.remove_link(1);
+    cr_expect(table.reply_to(query_from("near"), start).entry_hosts.empty());
 }
 
 // A host was started again over a new link before the old one was seen to
@@ -77,10 +80,11 @@
 Test(entry_table, end_of_an_older_link_leaves_the_host_named)
 {
     entry_table table({}, test_seed);
-    table.heard(1, host_id("e1"), ready_host(1, "near"), start);
-    table.heard(2, host_id("e1"), ready_host(1, "near"), start);
-    table.lost(1);
-    cr_expect_eq(table.answer(from("near"), start).entry_hosts.size(), 1U);
+    table.record_heartbeat(1, host_id("e1"), ready_host(1, "near"), start);
+    table.record_heartbeat(2, host_id("e1"), ready_host(1, "near"), start);
+    table.remove_link(1);
+    cr_expect_eq(table.reply_to(query_from("near"), start).entry_hosts.size(),
+                 1U);
 }
 
 Test(entry_table, host_that_stops_or_is_not_ready_is_not_named)
@@ -90,9 +94,9 @@
     stopping.stopping = true;
     link::entry_presence starting = ready_host(2, "near");
     starting.ready = false;
-    table.heard(1, host_id("e1"), stopping, start);
-    table.heard(2, host_id("e2"), starting, start);
-    cr_expect(table.answer(from("near"), start).entry_hosts.empty());
+    table.record_heartbeat(1, host_id("e1"), stopping, start);
+    table.record_heartbeat(2, host_id("e2"), starting, start);
+    cr_expect(table.reply_to(query_from("near"), start).entry_hosts.empty());
     cr_expect_eq(table.ready_hosts(start), 0U);
 }
 
@@ -104,13 +108,13 @@
     entry_table table({}, test_seed);
     for (std::uint16_t port = 1; port <= hosts; ++port)
     {
-        table.heard(port, host_id("e" + std::to_string(port)),
-                    ready_host(port, "near"), start);
+        table.record_heartbeat(port, host_id("e" + std::to_string(port)),
+                               ready_host(port, "near"), start);
     }
     std::map<std::uint16_t, int> named;
     for (int count = 0; count < 100; ++count)
     {
-        steering_reply const reply = table.answer(from("near"), start);
+        steering_reply const reply = table.reply_to(query_from("near"), start);
         cr_assert_eq(reply.entry_hosts.size(), 16U);
         for (config::endpoint const& host : reply.entry_hosts)
         {
@@ -137,11 +141,12 @@
             {}, process_seed(host_id("c" + std::to_string(place)), 1));
         for (std::uint16_t port = 1; port <= hosts; ++port)
         {
-            table.heard(port, host_id("e" + std::to_string(port)),
-                        ready_host(port, "near"), start);
+            table.record_heartbeat(port, host_id("e" + std::to_string(port)),
+                                   ready_host(port, "near"), start);
         }
-        ++named_first
-            [table.answer(from("near"), start).entry_hosts.front().port];
+        ++named_first[table.reply_to(query_from("near"), start)
+                          .entry_hosts.front()
+                          .port];
     }
     cr_expect_geq(named_first.size(), 13U, "about 20 if drawn at random");
 }
@@ -149,9 +154,9 @@
 Test(entry_table, answer_is_never_good_for_longer_than_allowed)
 {
     presence::entry_table_settings settings;
-    settings.longest_ttl = 700ms;
+    settings.max_ttl = 700ms;
     entry_table table(settings, test_seed);
-    cr_expect(table.answer(from("near"), start).ttl == 700ms);
+    cr_expect(table.reply_to(query_from("near"), start).ttl == 700ms);
 }
 
 // Eight hosts in one region and one in each of two others: shared among a
@@ -162,12 +167,12 @@
     entry_table table({}, test_seed);
     for (std::uint16_t number = 1; number <= 8; ++number)
     {
-        table.heard(number, host_id("e" + std::to_string(number)),
-                    ready_host(number, "large"), start);
+        table.record_heartbeat(number, host_id("e" + std::to_string(number)),
+                               ready_host(number, "large"), start);
     }
-    table.heard(9, host_id("e9"), ready_host(9, "small"), start);
-    table.heard(10, host_id("e10"), ready_host(10, "other"), start);
+    table.record_heartbeat(9, host_id("e9"), ready_host(9, "small"), start);
+    table.record_heartbeat(10, host_id("e10"), ready_host(10, "other"), start);
     cr_expect_eq(table.ready_hosts(start), 10U);
-    cr_expect_eq(table.most_ready_hosts_of_a_region(start), 8U);
-    cr_expect_eq(table.most_ready_hosts_of_a_region(start + 1h), 0U);
+    cr_expect_eq(table.max_ready_hosts_per_region(start), 8U);
+    cr_expect_eq(table.max_ready_hosts_per_region(start + 1h), 0U);
 }
