--- a/bilberrylead/control/control_effect.hpp
+++ b/bilberrylead/control/control_effect.hpp
@@ -26,80 +26,77 @@
 /// Send a message to a peer.
 struct send_to_peer
 {
-    /// Over which link.
+    /// Link to send on.
     link::link_number link = 0;
-    /// What to send.
     link::message content;
 };
 
 /// Answer an operator.
 struct answer_operator
 {
-    /// The request's number.
+    /// Number of the operator's request.
     std::uint64_t number = 0;
-    /// The answer.
     operator_reply reply;
-    /// Who leads, as far as this host knows; empty if it does not.
+    /// The leader as this host last saw it; empty if unknown.
     host_id leader;
 };
 
-/// Keep a link to each of these hosts: they take part in the group.
+/// Keep a link open to each of these hosts: they are members of the group.
 struct link_members
 {
     /// The other members.
     std::vector<host_id> hosts;
 };
 
-/// Ask for a page of the list of upstreams; list_page_came or
-/// list_call_failed follows.
+/// Request a page of the upstream list. Answered by list_page_received or
+/// list_call_failed.
 struct call_upstream_list
 {
-    /// The call.
     discovery::page_call call;
 };
 
-/// What is believed of the upstreams has changed: for the log.
+/// The listing of upstreams has changed. For the process log only.
 struct listing_changed
 {
-    /// The listing that is held now.
+    /// Position of the current listing.
     discovery::list_position position;
-    /// Upstreams that are new or differ.
+    /// Number of upstreams that were added or changed.
     std::size_t put = 0;
-    /// Upstreams that are gone.
+    /// Number of upstreams that were removed.
     std::size_t removed = 0;
-    /// Upstreams in all.
+    /// Number of upstreams in the listing.
     std::size_t upstreams = 0;
 };
 
-/// An order is in force by the log: for the log of this process.
+/// The replicated log has put orders in force. For the process log only.
 struct orders_changed
 {
-    /// Number of the state.
+    /// Revision of the orders.
     revision number = 0;
-    /// Version of the configuration.
+    /// The operator's version of the configuration.
     std::uint64_t version = 0;
-    /// Zones that are closed.
+    /// Number of zones that are closed.
     std::size_t closed_zones = 0;
 };
 
-/// The leader asks for a change of membership: for the log.
+/// The leader proposes a membership change. For the process log only.
 struct membership_planned
 {
-    /// What is to be done, and to whom.
+    /// The action and the host that it applies to.
     agreement::membership_change_requested change;
 };
 
-/// An operator lets a request run again: for the log.
+/// An operator allows a request to run again. For the process log only.
 struct crash_record_lifted
 {
-    /// The request's digest.
+    /// Digest of the request.
     std::uint64_t digest = 0;
-    /// Who asked.
+    /// The operator who lifted the record.
     std::string operator_name;
 };
 
-/// What a control host wants done, strictly in order: nothing after a sync
-/// before the sync is through.
+/// What a control host wants done. Effects are carried out strictly in order:
+/// no effect behind a sync may start before the sync has completed.
 using control_effect =
     std::variant<agreement::persist_hard_state, agreement::append_entries,
                  agreement::persist_snapshot, agreement::sync,
--- a/bilberrylead/control/control_event.hpp
+++ b/bilberrylead/control/control_event.hpp
@@ -17,87 +17,89 @@
 namespace bilberrylead::control
 {
 
-/// The process is up and its data folder read. The first event, once only.
+/// The process has started and has read its data folder. Always the first
+/// event, and sent only once.
 struct control_started
 {
-    /// What the data folder held.
+    /// The replica's state as recovered from the data folder.
     agreement::started recovered;
-    /// The upstreams as they were listed before, if that is remembered.
+    /// The listing of upstreams stored before the restart, if any.
     std::optional<discovery::list_changes> listing = std::nullopt;
-    /// The plan of its region, if that is remembered.
+    /// The plan of the host's region stored before the restart, if any.
     std::optional<link::region_plan> plan = std::nullopt;
 };
 
-/// A link to a peer is open.
+/// A link to a peer has opened.
 struct peer_connected
 {
-    /// Which one.
+    /// The new link.
     link::link_number link = 0;
-    /// Who is at the other end.
+    /// The peer at the other end.
     link::peer_identity peer;
 };
 
-/// A link is gone.
+/// A link has closed.
 struct peer_disconnected
 {
-    /// Which one.
+    /// The closed link.
     link::link_number link = 0;
 };
 
-/// A peer said something.
+/// A peer has sent a message.
 struct peer_message
 {
-    /// Over which link.
+    /// Link that the message arrived on.
     link::link_number link = 0;
-    /// What it said.
+    /// The message.
     link::message content;
 };
 
-/// An operator asks for something; answered exactly once.
+/// An operator has sent a request. It is answered exactly once, unless the
+/// operator disconnects before.
 struct operator_request_received
 {
-    /// Number for the answer, never used again.
+    /// Identifies the answer; never reused.
     std::uint64_t number = 0;
-    /// What is asked.
+    /// The request.
     operator_request request;
-    /// Wall time, for the audit trail.
+    /// Wall-clock time of receipt, for the audit trail.
     wall_time received_at;
 };
 
-/// An operator went away; the answer is no longer wanted.
+/// An operator has disconnected; the answer is no longer needed.
 struct operator_disconnected
 {
-    /// The request's number.
+    /// Number of the operator's request.
     std::uint64_t number = 0;
 };
 
-/// Time has passed.
+/// Periodic timer event.
 struct control_tick
 {
 };
 
-/// A write or sync failed: the log can promise nothing any more.
+/// A write or sync has failed: entries can no longer be made durable.
 struct control_disk_failed
 {
 };
 
-/// A page of the list of upstreams came.
+/// A page of the upstream list has been received.
 struct list_page_received
 {
-    /// Number of the call.
+    /// Number of the call that requested the page.
     std::uint64_t number = 0;
-    /// What it holds.
+    /// The decoded page.
     discovery::list_page page;
 };
 
-/// A call to the list of upstreams failed.
+/// A call to the upstream list has failed.
 struct list_call_failed
 {
     /// Number of the call.
     std::uint64_t number = 0;
 };
 
-/// Everything that can happen to a control host.
+/// Every event that a control host handles.
 using control_event =
     std::variant<control_started, peer_connected, peer_disconnected,
                  peer_message, operator_request_received, operator_disconnected,
--- a/bilberrylead/control/control_reducer.cpp
+++ b/bilberrylead/control/control_reducer.cpp
@@ -43,7 +43,8 @@
     this->time = now;
     this->effects.clear();
 
-    // Events for the log are gathered, so that one sync serves them all.
+    // Events for the replicated log are collected, so that all of them share
+    // one sync.
     for (control_event const& event : events)
     {
         std::visit(
@@ -169,8 +170,8 @@
     this->plan_regions();
     this->crashes.expire(this->time);
 
-    // The log's time is measured by whoever leads; time without a leader
-    // does not count, so that records live longer, never shorter.
+    // Only the leader measures the log's time. Time without a leader does
+    // not count, so that records may live longer but never shorter.
     if (this->replica.role() != agreement::role::leader)
     {
         this->time_advanced_at = this->time;
@@ -192,8 +193,8 @@
 void control_reducer::on_peer(link::link_number from,
                               link::replica_message const& message)
 {
-    // Only a control host's messages are the log's; an entry host's would
-    // be a vote from nowhere.
+    // Only control hosts take part in the replicated log. A replica message
+    // from an entry host could be a vote from a host that is not a member.
     if (this->links.at(from).role != link::peer_role::control)
     {
         return;
@@ -236,7 +237,7 @@
 template <class Other>
 void control_reducer::on_peer(link::link_number, Other const&)
 {
-    // Meant for entry hosts; a control host has no use for it.
+    // The remaining messages are meant for entry hosts.
 }
 
 void control_reducer::exchange_event(distribution::exchange_event const& event)
--- a/bilberrylead/control/control_reducer.hpp
+++ b/bilberrylead/control/control_reducer.hpp
@@ -31,47 +31,47 @@
 namespace bilberrylead::control
 {
 
-/// Everything that a control host decides, without clock, network or disk:
-/// the replicated log, the state that it builds up, what operators and
-/// entry hosts are answered, and which revision goes where.
+/// Makes all decisions of a control host, without access to clock, network or
+/// disk: runs the replicated log and its state machine, answers operators and
+/// entry hosts, and decides which revision is sent to which peer.
 class control_reducer
 {
 public:
-    /// Makes the reducer of one life of a data folder.
+    /// Makes the reducer for one incarnation of a data folder.
     control_reducer(control_reducer_settings const& settings,
                     process_seed const& seed);
 
-    /// Takes events that came together; their writes share a sync. `now`
-    /// never goes back. The first event is control_started.
+    /// Handles a batch of events; their writes share one sync. `now` must
+    /// not decrease from call to call. The first event is control_started.
     std::vector<control_effect> reduce(std::span<control_event const> events,
                                        instant now);
 
-    /// The log, for status and metrics.
+    /// The replicated log, for status and metrics.
     agreement::replica const& log() const;
 
-    /// What the log built up, for status and metrics.
+    /// The state built from the replicated log, for status and metrics.
     catalog::replicated_state const& state() const;
 
-    /// Which entry hosts a caller should use.
+    /// Returns the entry hosts that a caller should use.
     presence::steering_reply steer(presence::steering_query const& query,
                                    instant now)
     {
         return this->entry_hosts.reply_to(query, now);
     }
 
-    /// The upstreams as this host knows them, for metrics.
+    /// The current listing of upstreams, for metrics.
     discovery::upstream_listing const& upstreams() const
     {
         return this->listing;
     }
 
-    /// The newest plan of this host's region; nothing if none is known.
+    /// The newest plan of this host's region; empty if it has received none.
     std::optional<link::region_plan> const& plan() const
     {
         return this->current_plan;
     }
 
-    /// Requests under which upstreams ended, for metrics.
+    /// Requests during which upstreams crashed, for metrics.
     policy::crash_history const& crash_records() const
     {
         return this->crashes;
--- a/bilberrylead/control/control_reducer_group.cpp
+++ b/bilberrylead/control/control_reducer_group.cpp
@@ -6,17 +6,17 @@
 #include <chrono>
 #include <utility>
 
-/// Who belongs to the system, and what upstreams there are.
+/// Group membership, entry hosts and the listing of upstreams.
 namespace bilberrylead::control
 {
 
 namespace
 {
 
-/// Leaving upstreams that were read are told no more often than this while
-/// the rest of the list is still being read: each telling makes every entry
-/// host take over a listing, and a quarter of the three seconds in which they
-/// must be out of use is soon enough.
+/// Minimum interval between updates that announce leaving upstreams while the
+/// rest of the list is still being read. Each update makes every entry host
+/// apply a listing. A leaving upstream must be out of use within three
+/// seconds, and a quarter of that is soon enough.
 constexpr std::chrono::milliseconds early_listing_interval{400};
 
 std::vector<host_id> names_of(link::group_news const& update)
@@ -35,9 +35,10 @@
 void control_reducer::on_peer(link::link_number from,
                               link::entry_presence const& message)
 {
-    // An entry host that starts sends its first requests by this plan. Until
-    // the leader's next one it would send all of them home, to upstreams that
-    // do not know their objects, and come back from there at a bounded pace.
+    // An entry host that has just started routes its first requests by this
+    // plan. Without it, it would route all of them to its own region until
+    // the leader's next plan, to upstreams that do not hold the objects, and
+    // could then move to its planned shares only at a bounded rate.
     bool const is_new =
         !this->entry_hosts.hosts().contains(this->peer_of(from));
     if (is_new && this->current_plan.has_value() &&
@@ -58,8 +59,8 @@
 void control_reducer::on_peer(link::link_number,
                               link::group_news const& message)
 {
-    // Only a host that is in no group yet learns the others so; a member
-    // knows them from the log.
+    // Only a host that has not joined a group yet uses this message; a
+    // member takes the membership from the replicated log.
     if (this->replica.membership().members.empty())
     {
         this->effects.emplace_back(link_members{names_of(message)});
@@ -201,7 +202,8 @@
     }
 }
 
-/// A new leader goes by what its predecessor told.
+/// Before its first reading, a new leader expects the listing that it last
+/// received from its predecessor.
 void control_reducer::set_list_expectation()
 {
     std::map<upstream_id, discovery::listed_upstream> const& held =
@@ -223,8 +225,8 @@
     }
     std::optional<std::vector<discovery::listed_upstream>> const upstreams =
         this->reader->page_received(event.number, event.page, this->time);
-    // The next page is asked for at once: a timer's pause for each page of a
-    // long list adds up to seconds.
+    // The next page is requested at once: waiting for the timer before each
+    // page of a long list would add up to seconds.
     this->read_list();
     std::optional<discovery::list_changes> changes;
     if (upstreams.has_value())
--- a/bilberrylead/control/control_reducer_log.cpp
+++ b/bilberrylead/control/control_reducer_log.cpp
@@ -8,13 +8,14 @@
 #include <memory>
 #include <utility>
 
-/// What the replicated log wants done, and who waits for its outcome.
+/// Carries out the effects of the replicated log and answers those who wait
+/// for an outcome.
 namespace bilberrylead::control
 {
 
 void control_reducer::run_replica()
 {
-    // Carrying out may bring new events: a snapshot that was taken.
+    // Carrying out an effect may add events, such as snapshot_taken.
     while (!this->replica_events.empty())
     {
         std::vector<agreement::event> const events =
@@ -52,7 +53,8 @@
 
 void control_reducer::carry_out(agreement::drop_log_prefix const&)
 {
-    // The journal drops it with the snapshot that stands for it.
+    // The journal drops the prefix when it stores the snapshot that
+    // replaces it.
 }
 
 void control_reducer::carry_out(agreement::sync const& effect)
@@ -96,7 +98,7 @@
         this->replicated.restore(effect.snapshot.state);
     if (!restored.ok())
     {
-        // A state that differs from the quorum's must not go on.
+        // A replica whose state differs from the quorum's must stop.
         this->replica_events.emplace_back(agreement::disk_failed{});
         return;
     }
@@ -130,9 +132,10 @@
     this->refuse(
         this->pending.remove(effect.token),
         make_error(error_kind::timeout,
-                   "The leader lost its office with the change on its way.",
-                   "Send it again with the same change id to learn what "
-                   "became of it."),
+                   "The host lost the leadership before the outcome of "
+                   "the change was known.",
+                   "Send the change again with the same change id to get "
+                   "its outcome."),
         effect.leader);
 }
 
@@ -214,7 +217,8 @@
 
 void control_reducer::publish()
 {
-    // A deployment has orders or a catalog of its own, never both.
+    // A deployment uses either orders or the configuration catalog, never
+    // both.
     catalog::accepted_orders const& orders = this->replicated.orders();
     if (orders.current_revision() > 0)
     {
--- a/bilberrylead/control/control_reducer_operators.cpp
+++ b/bilberrylead/control/control_reducer_operators.cpp
@@ -6,7 +6,7 @@
 #include <deque>
 #include <utility>
 
-/// What operators ask of a control host, and what they are answered.
+/// Operator requests and their replies.
 namespace bilberrylead::control
 {
 
@@ -97,7 +97,7 @@
     auto const found = this->outcomes.find(index);
     if (found == this->outcomes.end())
     {
-        // A change of membership has no outcome of its own.
+        // A membership change produces no outcome in the state machine.
         this->answer(requester.number, done_reply{});
         return;
     }
--- a/bilberrylead/control/control_reducer_regions.cpp
+++ b/bilberrylead/control/control_reducer_regions.cpp
@@ -6,14 +6,14 @@
 #include <map>
 #include <string>
 
-/// Which requests run in which region.
+/// Planning of which share of the requests runs in which region.
 namespace bilberrylead::control
 {
 
 namespace
 {
 
-/// Demand and room of every service, by region.
+/// Demand and capacity of every service in each region.
 class region_load_table
 {
 public:
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The plan of each region.
+    /// Plans by the region that the requests come from.
     std::map<region_id, link::region_plan>
     plans(policy::region_plan_settings const& settings,
           std::uint64_t term) const
--- a/bilberrylead/control/control_reducer_relay.cpp
+++ b/bilberrylead/control/control_reducer_relay.cpp
@@ -5,7 +5,7 @@
 #include <optional>
 #include <utility>
 
-/// Relay of what entry hosts tell each other about upstreams.
+/// Relay of the entry hosts' reports on upstreams to each other.
 namespace bilberrylead::control
 {
 
@@ -60,8 +60,8 @@
     {
         this->answer(received.number,
                      make_error(error_kind::unknown_name,
-                                "No upstream ended under such a request.",
-                                "Take the digest from bilberryctl crashes."));
+                                "No crash is recorded for this request digest.",
+                                "List the digests with bilberryctl crashes."));
         return;
     }
     this->effects.emplace_back(
--- a/bilberrylead/control/control_reducer_settings.hpp
+++ b/bilberrylead/control/control_reducer_settings.hpp
@@ -20,54 +20,56 @@
 namespace bilberrylead::control
 {
 
-/// What a control host's reducer needs to know from its start.
+/// Settings of a control host's reducer, fixed for its lifetime.
 struct control_reducer_settings
 {
     /// This host.
     host_id self;
-    /// This life of its data folder.
+    /// Incarnation of its data folder.
     std::uint64_t incarnation = 1;
-    /// How the log is paced.
+    /// Timing and size limits of the replicated log.
     agreement::replica_settings replica;
-    /// Bounds of the accepted configurations.
+    /// Limits on the accepted configurations.
     catalog::catalog_settings catalog;
-    /// Bounds of the run-at-most-once records.
+    /// Limits on the run-at-most-once records.
     once::once_settings once;
-    /// How often the leader moves the log's time on: half of the largest
-    /// step that counts, so that a late one loses nothing.
+    /// Interval at which the leader advances the log's time. Half of the
+    /// largest step that the state machine counts in full, so that a delayed
+    /// step loses no time.
     duration time_step = std::chrono::seconds(5);
-    /// Where this host stands.
+    /// This host's availability zone.
     zone_id zone;
     /// The zone's region.
     region_id region;
-    /// How the group keeps its size; nothing if operators see to that.
+    /// How the leader maintains the group's size; empty if operators manage
+    /// the membership themselves.
     std::optional<membership::member_planner_settings> planner;
-    /// How often the leader looks at the membership. A change takes a quorum
-    /// round trip between regions (70 ms) and syncs, so that every second
-    /// look finds the last one settled.
+    /// Interval at which the leader plans the membership. A change takes a
+    /// quorum round trip between regions (70 ms) plus syncs, so at every
+    /// second run the previous change is complete.
     duration membership_plan_interval = std::chrono::milliseconds(150);
-    /// How the list of upstreams is read; nothing if the configuration
-    /// names them.
+    /// How the upstream list is read; empty if the configuration itself
+    /// contains the upstreams.
     std::optional<discovery::list_reader_settings> list;
-    /// How often a follower asks the leader for a newer listing, in case
-    /// that it missed one.
+    /// Interval at which a follower requests a newer listing from the leader,
+    /// in case it missed an update.
     duration listing_refresh = std::chrono::seconds(1);
-    /// How requests are planned over regions.
+    /// How requests are distributed over regions.
     policy::region_plan_settings regions;
-    /// How often the number of entry hosts is told where the group itself is
-    /// the same. While many of them are stopped and started it changes all
-    /// the time, and each telling goes to every host.
+    /// Minimum interval between group updates that change only the number of
+    /// entry hosts. The number changes constantly while many of them restart,
+    /// and each update is sent to every host.
     duration entry_count_interval = std::chrono::milliseconds(500);
-    /// A new leader plans no regions before this: entry hosts link to it
-    /// once they hear of it, and by the demand of the first few alone
-    /// callers of whole regions would be moved.
+    /// Time from a change of leader until the new leader first plans regions.
+    /// Entry hosts link to a leader only once they learn of it; a plan based
+    /// on the demand of the first few would move callers of entire regions.
     duration region_plan_delay = std::chrono::milliseconds(1500);
-    /// How often the leader plans regions. Demands come with heartbeats, two
-    /// a second.
+    /// Interval at which the leader plans regions. Demand arrives with the
+    /// heartbeats, two a second.
     duration region_plan_interval = std::chrono::seconds(1);
-    /// The zones and their regions; empty: nothing is planned.
+    /// The zones and their regions; if empty, no regions are planned.
     std::vector<config::place> places;
-    /// How entry hosts are heard and named.
+    /// How entry hosts are tracked and selected for callers.
     presence::entry_table_settings entries;
 };
 
--- a/bilberrylead/control/operator_reply.hpp
+++ b/bilberrylead/control/operator_reply.hpp
@@ -22,80 +22,81 @@
 namespace bilberrylead::control
 {
 
-/// An accepted configuration.
+/// Reply with an accepted configuration.
 struct configuration_reply
 {
-    /// Its revision, 0 if there is none yet.
+    /// Its revision; 0 if none has been accepted yet.
     revision number = 0;
     /// Its document as its author wrote it.
     bytes document;
 };
 
-/// A part of the audit trail.
+/// Reply with the newest part of the audit trail.
 struct audit_reply
 {
-    /// The newest entries, newest first.
+    /// Entries, newest first.
     std::vector<catalog::audit_entry> entries;
 };
 
-/// What a control host knows of itself and its peers.
+/// Reply with the state of a control host and its view of its peers.
 struct status_reply
 {
     /// This host.
     host_id host;
-    /// This life of its data folder.
+    /// Incarnation of its data folder.
     std::uint64_t incarnation = 0;
-    /// Its role in the group.
+    /// Its role in the replication group.
     agreement::role role = agreement::role::learner;
-    /// Its term.
+    /// Its current term.
     std::uint64_t term = 0;
-    /// Who leads, as far as known; empty if unknown.
+    /// The leader as this host last saw it; empty if unknown.
     host_id leader;
-    /// Highest committed index.
+    /// Index of the last entry that this host has seen committed.
     std::uint64_t commit_index = 0;
-    /// Last index in its log.
+    /// Index of the last entry in its log.
     std::uint64_t last_index = 0;
-    /// The accepted revision it knows.
+    /// Newest accepted revision that it has applied.
     revision accepted = 0;
-    /// Who takes part in the group.
+    /// Members of the group.
     agreement::membership members;
-    /// Revision in force at each entry host that subscribes here.
+    /// Revision in force at each entry host that subscribes to this host.
     std::map<host_id, revision> entry_hosts;
-    /// Run-at-most-once records held.
+    /// Number of run-at-most-once records held.
     std::size_t claims = 0;
 };
 
-/// The request was taken; nothing more to say.
+/// The request was accepted; the reply has no content.
 struct done_reply
 {
 };
 
-/// The configuration with the highest accepted version.
+/// Reply with the configuration of the highest accepted version.
 struct orders_reply
 {
-    /// Its version, 0 if there is none yet.
+    /// Its version; 0 if none has been accepted yet.
     std::uint64_t version = 0;
     /// Its document as its author wrote it.
     bytes document;
 };
 
-/// A request under which upstreams ended.
+/// A request during which upstreams crashed.
 struct crash_record_row
 {
-    /// What is known of it.
+    /// The upstreams that crashed while running the request.
     policy::crash_record record;
-    /// What follows from it.
+    /// How the request is treated as a result.
     policy::crash_verdict verdict{};
 };
 
-/// Requests under which upstreams ended.
+/// Reply with the requests during which upstreams crashed.
 struct crash_records_reply
 {
-    /// All that this host knows.
+    /// All records that this host holds.
     std::vector<crash_record_row> rows;
 };
 
-/// What a control host answers an operator; a Status says why it could not.
+/// A control host's reply to an operator. A Status is an error that explains
+/// why the request was not carried out.
 using operator_reply =
     std::variant<catalog::change_outcome, configuration_reply, audit_reply,
                  status_reply, done_reply, catalog::order_outcome, orders_reply,
--- a/bilberrylead/control/operator_request.hpp
+++ b/bilberrylead/control/operator_request.hpp
@@ -12,81 +12,81 @@
 namespace bilberrylead::control
 {
 
-/// Propose a change of the configuration.
+/// Propose a configuration change.
 struct submit_change
 {
-    /// The change; its time is set by the leader.
+    /// The change; `accepted_at` is set by the control host.
     catalog::change_command change;
 };
 
 /// Read the accepted configuration.
 struct read_configuration
 {
-    /// The revision that is wanted, 0 for the newest.
+    /// Revision to read; 0 for the newest.
     revision wanted = 0;
-    /// True to take what this host knows, without asking a quorum.
+    /// True to read this host's state without confirming it with a quorum.
     bool allow_stale = false;
 };
 
 /// Read the audit trail, the newest entries first.
 struct read_audit
 {
-    /// Most entries to give, over 0.
+    /// Maximum number of entries to return, over 0.
     std::size_t max_entries = 100;
 };
 
-/// Read what this host knows of itself and its peers. Needs no quorum.
+/// Read the state of this host and its view of its peers. Needs no quorum.
 struct read_status
 {
 };
 
-/// Change who takes part in the group.
+/// Change the membership of the group.
 struct change_membership
 {
-    /// What to do, and to whom; its token is set here.
+    /// The action and the host that it applies to; the reducer sets its token.
     agreement::membership_change_requested request;
 };
 
-/// Hand the leadership over, before a planned stop.
+/// Transfer the leadership to another host, before a planned stop.
 struct hand_over
 {
 };
 
-/// Propose a configuration under the operator's own version.
+/// Propose a configuration under a version chosen by the operator.
 struct submit_orders
 {
-    /// The configuration; its document was checked.
+    /// The configuration; its document has been validated.
     catalog::put_configuration order;
 };
 
 /// Close or open an availability zone.
 struct submit_zone_order
 {
-    /// What to do, and to which zone.
+    /// The action and the zone that it applies to.
     catalog::close_zone order;
 };
 
-/// Read the configuration with the highest accepted version.
+/// Read the configuration of the highest accepted version.
 struct read_orders
 {
 };
 
-/// Read which requests ended upstreams, as this host knows them. Needs no
+/// Read this host's records of requests that crashed upstreams. Needs no
 /// quorum.
 struct read_crash_records
 {
 };
 
-/// Let a request run again under which upstreams ended.
+/// Allow a request to run again that was recorded as crashing upstreams.
 struct lift_crash_record
 {
-    /// The request's digest.
+    /// Digest of the request.
     std::uint64_t digest = 0;
-    /// Who asks.
+    /// The operator who sends the request.
     std::string operator_name;
 };
 
-/// What operators ask of a control host.
+/// An operator's request to a control host.
 using operator_request =
     std::variant<submit_change, read_configuration, read_audit, read_status,
                  change_membership, hand_over, submit_orders, submit_zone_order,
--- a/bilberrylead/control/pending_requests.hpp
+++ b/bilberrylead/control/pending_requests.hpp
@@ -11,38 +11,40 @@
 namespace bilberrylead::control
 {
 
-/// An operator waits for the answer.
+/// An operator is waiting for the answer.
 struct waiting_operator
 {
-    /// The request's number.
+    /// Number of the operator's request.
     std::uint64_t number = 0;
 };
 
-/// An entry host waits for the verdict on its claim or report.
+/// An entry host is waiting for the result of its claim, report or
+/// registration.
 struct waiting_entry_host
 {
-    /// Over which link the request came.
+    /// Link that the request arrived on.
     link::link_number link = 0;
-    /// The entry host's own number for it, 0 for a registration.
+    /// Number that the entry host gave the request; 0 for a registration.
     std::uint64_t number = 0;
 };
 
-/// Nobody waits: the leader's own proposal.
+/// Nobody is waiting: the leader made the proposal itself.
 struct no_waiter
 {
 };
 
-/// Who waits for the outcome of a proposal or read.
+/// Who is waiting for the outcome of a proposal or read.
 using waiter = std::variant<no_waiter, waiting_operator, waiting_entry_host>;
 
-/// Tokens of proposals and reads that are open, and who waits for each.
+/// Tokens of the pending proposals and reads, and who is waiting for each.
 class pending_requests
 {
 public:
-    /// Gives out a new token for a waiter.
+    /// Adds a waiter and returns a new token for it.
     std::uint64_t add(waiter requester);
 
-    /// Ends a token and tells who waited; nobody for an unknown one.
+    /// Removes a token and returns its waiter; no_waiter if the token is
+    /// unknown.
     waiter remove(std::uint64_t token);
 
 private:
--- a/bilberrylead/control/refusals.cpp
+++ b/bilberrylead/control/refusals.cpp
@@ -11,14 +11,16 @@
 {
     if (leader.empty())
     {
-        return make_error(error_kind::no_quorum, "No control host leads now.",
-                          "Try again in a second; if it lasts, see whether "
-                          "more than half of the control hosts run.");
+        return make_error(error_kind::no_quorum,
+                          "The control hosts have no leader at present.",
+                          "Retry in a second; if the error persists, check "
+                          "that more than half of the control hosts are "
+                          "running.");
     }
     return make_error(
         error_kind::not_leader,
-        fmt::format("This host does not lead; {} does.", leader.text()),
-        "Ask that host.");
+        fmt::format("This host is not the leader; {} is.", leader.text()),
+        "Send the request to that host.");
 }
 
 absl::Status refusal_status(agreement::refusal reason, host_id const& leader)
@@ -31,15 +33,15 @@
     {
         return make_error(
             error_kind::bad_value,
-            "The group cannot change so: the host is a member already, or "
-            "is none, or is the last voter.",
-            "See the members with bilberryctl status. A member that lost "
-            "its disk is taken back by itself, with no command.");
+            "The membership change is not possible: the host is already a "
+            "member, is not a member, or is the last voter.",
+            "List the members with bilberryctl status. A member that lost "
+            "its disk rejoins automatically; no command is needed.");
     }
     return make_error(error_kind::no_room,
-                      fmt::format("The log refuses the change ({}).",
+                      fmt::format("The replicated log refused the change ({}).",
                                   agreement::to_string(reason)),
-                      "Try again in a second.");
+                      "Retry in a second.");
 }
 
 } // namespace bilberrylead::control
--- a/bilberrylead/control/refusals.hpp
+++ b/bilberrylead/control/refusals.hpp
@@ -9,11 +9,11 @@
 namespace bilberrylead::control
 {
 
-/// What an operator hears where this host does not lead: who does, or that
-/// nobody does now.
+/// Error for an operator whose request reached a host that is not the leader:
+/// names the leader, or reports no_quorum if `leader` is empty.
 absl::Status not_leader(host_id const& leader);
 
-/// What an operator hears when the log refuses a proposal.
+/// Error for an operator whose proposal the replicated log refused.
 absl::Status refusal_status(agreement::refusal reason, host_id const& leader);
 
 } // namespace bilberrylead::control
--- a/tests/unit/control/control_group.hpp
+++ b/tests/unit/control/control_group.hpp
@@ -25,8 +25,9 @@
     return host_id("c" + std::to_string(index + 1));
 }
 
-/// Three founders whose messages arrive when the test says so. Links below
-/// `entry_link` lead to the other founders, the others to entry hosts.
+/// Three initial members whose messages are delivered when the test calls
+/// deliver(). Links below `entry_link` lead to the other members, the others
+/// to entry hosts.
 struct control_group
 {
     static constexpr std::size_t hosts = 3;
@@ -74,7 +75,7 @@
                        {control::peer_connected{number, {peer, role, 1}}});
     }
 
-    /// Hands events over in one call and carries the effects out.
+    /// Passes events to a host in one call and carries out its effects.
     void dispatch(std::size_t index,
                   std::vector<control::control_event> const& events)
     {
@@ -109,8 +110,8 @@
         this->in_flight.push_back({from, sent.link, std::move(sent.content)});
     }
 
-    /// Delivers until nothing is on its way; what a lost host sends or
-    /// should get is lost.
+    /// Delivers until no message is in flight. Messages from or to an
+    /// isolated host are lost, and so are messages to one in not_receiving.
     void deliver()
     {
         while (!this->in_flight.empty())
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Lets time pass in ticks; frozen hosts do not notice.
+    /// Advances time by ticks; frozen hosts receive no tick.
     void advance(int ticks)
     {
         for (int tick = 0; tick < ticks; ++tick)
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Lets time pass until a host that can be reached leads with a lease.
+    /// Advances time until a host that is not isolated leads with a lease.
     std::size_t wait_for_leader()
     {
         for (int tick = 0; tick < 200; ++tick)
@@ -176,7 +177,7 @@
         this->deliver();
     }
 
-    /// The answer to a request, which must have got exactly one.
+    /// The answer to a request; asserts that there is exactly one.
     control::operator_reply const& answer_to(std::uint64_t number)
     {
         cr_assert_eq(this->answers[number].size(), 1U,
@@ -185,7 +186,8 @@
         return this->answers[number].front();
     }
 
-    /// The last message over the entry link of a host, of this kind.
+    /// The last message that a host sent over its entry link; asserts that it
+    /// is of this kind.
     template <class Kind>
     Kind last_sent(std::size_t index)
     {
--- a/tests/unit/control/control_reducer_test.cpp
+++ b/tests/unit/control/control_reducer_test.cpp
@@ -44,7 +44,7 @@
     return {number, once::claim{key, 9, request_id(request), host_id("e1"), 1}};
 }
 
-/// A group with a leader, and an entry host that is linked to every host.
+/// A group that has a leader, and an entry host linked to every control host.
 struct led_group : control_group
 {
     std::size_t leader = this->wait_for_leader();
@@ -95,10 +95,11 @@
     }
 }
 
-// The operator's answer is lost: the leader's followers have the change, and
-// the leader is cut off before it hears so. The operator sends the change
-// again through the next leader and must learn that it was accepted, as
-// revision 1 and not as another one. The old leader never claims it.
+// Guards against a resent change that is applied twice. The followers have
+// stored the change, but the leader is cut off before it receives their
+// acknowledgements, so that the operator gets no answer. Resent through the
+// next leader, the change must be reported as already accepted, as revision 1.
+// The old leader never reports it as accepted.
 Test(control_reducer, change_when_resent_after_a_leader_change_counts_once)
 {
     led_group group;
@@ -153,9 +154,9 @@
     }
 }
 
-// Both followers are cut off. The operator must not hear that a change was
-// accepted, or an entry host that a claim was granted, while only the leader
-// has it: another leader may come that never heard of either.
+// Guards against a change reported as accepted, or a claim reported as
+// granted, while only the leader has stored it. Both followers are cut off:
+// the next leader may have received neither.
 Test(control_reducer, requests_without_a_quorum_are_never_called_accepted)
 {
     led_group group;
@@ -171,9 +172,9 @@
     }
 }
 
-// An entry host that bears a control host's name says that it leads in a far
-// later term. The leader would step down for it, and every request would
-// wait for an election: any entry host could stop the group.
+// Guards against entry hosts that can stop the group. An entry host with the
+// name of a control host claims to lead in a much later term. If the leader
+// stepped down, every request would wait for an election.
 Test(control_reducer, replica_message_of_an_entry_host_is_ignored)
 {
     led_group group;
@@ -185,7 +186,7 @@
     group.dispatch(group.leader, {control::peer_message{101, forged}});
     cr_assert_eq(group.nodes.at(group.leader)->log().term(), term);
 
-    // The same words over a control host's link are heard.
+    // The same message over a control host's link is accepted.
     group.dispatch(group.leader,
                    {control::peer_message{group.follower, forged}});
     cr_assert_eq(group.nodes.at(group.leader)->log().term(), term + 9);
@@ -225,9 +226,10 @@
     cr_assert(notice.leader == control_host(group.leader));
 }
 
-// The leader is frozen and cut off, another one is elected and accepts a
-// change. The old one wakes up and is asked before it hears anything. It has
-// to see that its time is over and not give out the old configuration.
+// Guards against stale reads. While the leader is frozen and cut off, another
+// one is elected and accepts a change. The old leader resumes and gets a read
+// request before any message. It must detect that its lease has expired and
+// not return the old configuration.
 Test(control_reducer, read_at_an_old_leader_after_its_lease_is_refused)
 {
     led_group group;
@@ -269,9 +271,10 @@
     cr_assert_eq(group.answers.size(), 5U);
 }
 
-// An entry host is killed and its link ends. The leader looks at its links to
-// control hosts soon after, to keep the group's size: an entry that the ended
-// link left behind there pointed nowhere and ended the leader.
+// Guards against a crash of the leader. After an entry host is killed and its
+// link closes, the leader plans the membership from its links to control
+// hosts. A leftover entry of the closed link in that table referred to no link
+// and crashed the leader.
 Test(control_reducer, entry_host_whose_link_ended_is_no_control_host)
 {
     led_group group;
@@ -305,23 +308,23 @@
               error_kind::not_leader);
 }
 
-// The leader is cut off and believes in its office for a moment longer than
-// its lease: what it would say of the newest order may be old.
+// Guards against stale reads. A leader that is cut off stays in the leader
+// role slightly longer than its lease, and its newest orders may be outdated.
 Test(control_reducer, orders_are_not_read_from_a_leader_without_a_quorum)
 {
     led_group group;
     group.request(group.leader, 1, control::submit_orders{{5, bytes{'a'}}});
     group.advance(3);
     group.isolated.insert(group.leader);
-    group.advance(9); // Its lease is over, its office is not.
+    group.advance(9); // Its lease has expired; its role has not changed yet.
     group.request(group.leader, 2, control::read_orders{});
     group.advance(30);
     cr_expect(std::holds_alternative<absl::Status>(group.answer_to(2)));
 }
 
-// All hosts lost power and entry hosts ask for upstreams. The control host
-// has no leader to read the list yet; what it remembers of it is enough for
-// callers to be served.
+// All hosts have lost power, and entry hosts request the upstreams before any
+// leader has read the list. The listing that the control host stored before
+// the restart is enough to serve callers.
 Test(control_reducer, host_when_restarted_hands_out_the_listing_it_remembers)
 {
     control::control_reducer_settings settings;
@@ -354,7 +357,7 @@
 namespace
 {
 
-/// A control host of region "r" that was started with a remembered plan.
+/// A control host of region "r" that was started with a stored plan.
 struct planned_control_host
 {
     planned_control_host()
@@ -380,7 +383,7 @@
             number, {host_id("h" + std::to_string(number)), role, 1}});
     }
 
-    /// An entry host of that region says that it is there.
+    /// Sends the heartbeat of an entry host in that region.
     void send_heartbeat(link::link_number number, std::string const& region)
     {
         link::entry_presence presence;
@@ -388,7 +391,7 @@
         this->dispatch(control::peer_message{number, presence});
     }
 
-    /// Plans that the last event had sent.
+    /// Plans sent as a result of the last event.
     std::vector<link::region_plan> plans() const
     {
         std::vector<link::region_plan> found;
@@ -415,10 +418,10 @@
 
 } // namespace
 
-// Hosts are stopped and started in turn. An entry host that starts sends its
-// first requests before the leader's next plan, all of them home, where their
-// objects are not known; it then moves to its shares at the bounded pace, for
-// ten seconds and more.
+// Guards against misrouted requests during a rolling restart. Without a plan,
+// an entry host that starts before the leader's next plan routes all of its
+// first requests to its own region, where their objects are not held. It then
+// moves to its shares at the bounded rate, which takes ten seconds and more.
 Test(control_reducer, plan_goes_to_an_entry_host_of_the_region_that_starts)
 {
     planned_control_host host;
@@ -427,10 +430,10 @@
     cr_assert_eq(host.plans().size(), 1U);
     cr_expect(host.plans().front() == *host.host->plan());
     host.send_heartbeat(1, "r");
-    cr_expect(host.plans().empty(), "a later heartbeat asks for no plan");
+    cr_expect(host.plans().empty(), "a later heartbeat gets no plan");
     host.connect(2, link::peer_role::entry);
     host.send_heartbeat(2, "other");
-    cr_expect(host.plans().empty(), "it is another region's plan");
+    cr_expect(host.plans().empty(), "the plan is for another region");
 }
 
 Test(control_reducer, plan_of_an_older_term_or_of_an_entry_host_is_not_held)
@@ -446,8 +449,8 @@
     cr_expect_eq(host.host->plan()->term, 4U);
 }
 
-// Guards against news of crashes that need a leader, or that end at the
-// control host which hears them.
+// Guards against crash reports that need a leader, or that are not forwarded
+// by the control host that receives them.
 Test(control_reducer, crash_report_reaches_hosts_at_all_control_hosts_once)
 {
     led_group group;
@@ -464,8 +467,8 @@
     cr_expect_eq(sent.size(), sent_once);
 }
 
-// Guards against entry hosts that start without knowing what crashes
-// upstreams.
+// Guards against entry hosts that start without the records of requests that
+// crash upstreams.
 Test(control_reducer, crash_records_go_to_a_host_that_is_linked)
 {
     led_group group;
@@ -482,8 +485,8 @@
     cr_expect(found);
 }
 
-// Guards against counts of a limited upstream that some entry hosts do not
-// hear, or that control hosts hand round for ever.
+// Guards against notices on a limited upstream that some entry hosts do not
+// receive, or that control hosts forward to each other endlessly.
 Test(control_reducer, limit_notice_reaches_entry_hosts_of_all_control_hosts)
 {
     led_group group;
@@ -504,7 +507,8 @@
     }
 }
 
-// Guards against a refusal that no operator can end.
+// Guards against requests that stay refused because no operator can lift
+// their crash record.
 Test(control_reducer, lifted_crash_record_is_cleared_on_all_hosts)
 {
     led_group group;
