--- a/bilberrylead/distribution/exchange_effect.hpp
+++ b/bilberrylead/distribution/exchange_effect.hpp
@@ -12,18 +12,17 @@
 /// Send a message over a link.
 struct send_message
 {
-    /// Over which link.
+    /// Link to send on.
     link::link_number link = 0;
-    /// What to send.
     link::message content;
 };
 
-/// Put a revision in force. Each one is larger than all before.
+/// Put a revision in force. Its number is larger than all before.
 struct install_revision
 {
     /// The revision.
     revision number = 0;
-    /// Its document, not checked yet.
+    /// Its document, not validated yet.
     shared_document document;
 };
 
--- a/bilberrylead/distribution/exchange_event.hpp
+++ b/bilberrylead/distribution/exchange_event.hpp
@@ -15,53 +15,53 @@
 namespace bilberrylead::distribution
 {
 
-/// A document that several links and the process itself share.
+/// A document shared by several links and the process itself.
 using shared_document = std::shared_ptr<bytes const>;
 
-/// A link is open.
+/// A link has opened.
 struct link_opened
 {
-    /// Which one.
+    /// The new link.
     link::link_number link = 0;
-    /// Who is at the other end.
+    /// The peer at the other end.
     link::peer_identity peer;
 };
 
-/// A link is gone.
+/// A link has closed.
 struct link_closed
 {
-    /// Which one.
+    /// The closed link.
     link::link_number link = 0;
 };
 
-/// The peer said what it has and how it wants to hear of more.
+/// A peer has reported its revision in force and requested a form of delivery.
 struct subscription_received
 {
-    /// Over which link.
+    /// Link that the message arrived on.
     link::link_number link = 0;
-    /// What it said.
+    /// The message.
     link::subscription content;
 };
 
-/// The peer holds a revision.
+/// A peer has announced the number of a revision that it holds.
 struct announcement_received
 {
-    /// Over which link.
+    /// Link that the message arrived on.
     link::link_number link = 0;
-    /// What it said.
+    /// The message.
     link::revision_announcement content;
 };
 
-/// The peer brought a revision.
+/// A peer has sent a revision with its document.
 struct update_received
 {
-    /// Over which link.
+    /// Link that the message arrived on.
     link::link_number link = 0;
-    /// What it brought.
+    /// The message.
     link::configuration_update content;
 };
 
-/// This process has a revision from its own log or disk.
+/// This process has obtained a revision from its own log or disk.
 struct revision_published
 {
     /// The revision, over 0.
@@ -70,12 +70,12 @@
     shared_document document;
 };
 
-/// Time has passed.
+/// Periodic timer event.
 struct exchange_tick
 {
 };
 
-/// Everything that can happen to an exchange.
+/// Every event that an exchange handles.
 using exchange_event =
     std::variant<link_opened, link_closed, subscription_received,
                  announcement_received, update_received, revision_published,
--- a/bilberrylead/distribution/exchange_settings.hpp
+++ b/bilberrylead/distribution/exchange_settings.hpp
@@ -8,20 +8,20 @@
 namespace bilberrylead::distribution
 {
 
-/// How a process hears of new revisions, and passes them on.
+/// How a process receives new revisions and passes them on.
 struct exchange_settings
 {
-    /// True where revisions are made (control hosts): such a process takes
-    /// none from others, since its own log is what counts.
+    /// True where revisions originate (control hosts). Such a process accepts
+    /// none from peers, since its own log is authoritative.
     bool is_source = false;
     /// How long an announced revision may be missing before it is fetched
-    /// from whoever announced it. Pushing over the chosen link takes a round
-    /// trip between regions (70 ms) and the transfer; shorter would fetch
-    /// what is on its way already, longer would eat the seconds in which a
-    /// change has to be in force everywhere.
+    /// from the peer that announced it. A push over the pushing link takes a
+    /// round trip between regions (70 ms) and the transfer. A shorter time
+    /// would fetch revisions that are already in flight; a longer one would
+    /// use up the seconds within which a change must be in force everywhere.
     duration fetch_after = std::chrono::milliseconds(300);
-    /// How often subscriptions are sent again: a lost one would leave its
-    /// sender without news until the link ends.
+    /// Interval at which subscriptions are resent. If one were lost, its
+    /// sender would receive no updates until the link closes.
     duration refresh_interval = std::chrono::seconds(2);
 };
 
--- a/bilberrylead/distribution/revision_exchange.cpp
+++ b/bilberrylead/distribution/revision_exchange.cpp
@@ -65,7 +65,7 @@
         return;
     }
 
-    // Entry hosts subscribe to everybody, and are pushed to by one.
+    // An entry host subscribes over every link and requests pushes over one.
     this->choose_pushing_link();
     this->subscribe(event.link);
 }
@@ -78,8 +78,8 @@
         return;
     }
 
-    // The chosen link died, perhaps with a revision on its way: another one
-    // is chosen now, and its peer sends whatever is missing.
+    // The pushing link has closed, perhaps with a revision in flight. The
+    // peer of the new pushing link sends whatever is missing.
     this->pushing_link.reset();
     this->choose_pushing_link();
 }
@@ -92,8 +92,8 @@
         return;
     }
 
-    // What the peer says it has is the truth: it may have lost what was
-    // sent, and a restarted one starts again from nothing.
+    // The revision that the peer reports is authoritative: an earlier update
+    // may have been lost, and a restarted peer holds nothing.
     peer_link& from = found->second;
     bool const upgrades_delivery =
         event.content.wanted == link::delivery::pushed &&
@@ -118,8 +118,8 @@
 
 void revision_exchange::on(update_received const& event)
 {
-    // Strictly increasing: two links may bring revisions in any order, and
-    // a peer that was frozen may wake up with an old one.
+    // Revisions are strictly increasing: they may arrive in any order over
+    // two links, and a peer that was frozen may send an old one.
     bool const is_older = event.content.target <= this->current;
     if (this->settings.is_source || is_older || event.content.base != 0)
     {
@@ -206,8 +206,9 @@
         }
     }
 
-    // Control hosts first: a neighbour knows a revision one step later. The
-    // oldest link among equals, since it has proven to last.
+    // Control hosts are preferred, since other entry hosts get a revision one
+    // hop later. Among equals the oldest link is preferred, since it has
+    // proven stable.
     link_map::const_iterator best = this->links.end();
     for (link_map::const_iterator row = this->links.begin();
          row != this->links.end(); ++row)
@@ -274,8 +275,9 @@
         return;
     }
 
-    // The chosen link does not deliver: the announcer becomes the chosen
-    // one. If it is gone, its closing chose another link already.
+    // The pushing link does not deliver, so the announcing link becomes the
+    // pushing link. If the announcing link has closed, another pushing link
+    // was chosen at that time.
     this->announced_at = this->time;
     if (!this->links.contains(this->announcing_link) ||
         this->pushing_link == this->announcing_link)
--- a/bilberrylead/distribution/revision_exchange.hpp
+++ b/bilberrylead/distribution/revision_exchange.hpp
@@ -14,46 +14,48 @@
 namespace bilberrylead::distribution
 {
 
-/// Brings accepted revisions to every process, as a reducer without clock
-/// or I/O. Control hosts are sources; entry hosts take revisions from any
-/// link, from neighbours as well, so that one that restarts in a cut-off
-/// availability zone gets the newest revision which its zone knows.
+/// Distributes accepted revisions to every process, as a reducer without clock
+/// or I/O. Control hosts are the sources. Entry hosts accept revisions over
+/// any link, including those to other entry hosts, so that a host that
+/// restarts in a cut-off availability zone gets the newest revision that is
+/// present in its zone.
 ///
-/// The content comes over one chosen link; over the others only numbers
-/// are announced, and a number that stays missing is fetched from whoever
-/// announced it. A revision never goes back: an older one is dropped
-/// wherever it comes from.
+/// Documents are pushed over one link only, the pushing link. Over the others
+/// only revision numbers are announced, and a revision that stays missing is
+/// fetched from the peer that announced it. The revision in force never
+/// decreases: older ones are dropped wherever they come from.
 class revision_exchange
 {
 public:
     /// Makes an exchange without links and without a revision.
     explicit revision_exchange(exchange_settings const& settings);
 
-    /// Takes one event. `now` never goes back.
+    /// Handles one event. `now` must not decrease from call to call.
     std::vector<exchange_effect> reduce(exchange_event const& event,
                                         instant now);
 
-    /// The revision held, 0 for none.
+    /// The newest revision that this process holds, 0 for none.
     revision current_revision() const;
 
-    /// Peers that acknowledged a revision of at least `wanted`.
+    /// Number of subscribed peers whose revision in force is `number` or
+    /// newer.
     std::size_t count_acknowledged(revision number) const;
 
     /// The revision that each subscribed peer has in force.
     std::map<host_id, revision> peer_revisions() const;
 
 private:
-    /// What is known of one link.
+    /// State of one link.
     struct peer_link
     {
         link::peer_identity peer;
-        /// The peer's revision in force, as it last said.
+        /// Revision in force at the peer, as last reported by it.
         revision revision_in_force = 0;
         /// Newest revision that was sent or announced to the peer.
         revision sent_revision = 0;
-        /// How the peer wants to hear of more.
+        /// How the peer wants to receive newer revisions.
         link::delivery requested_delivery = link::delivery::announced;
-        /// True once the peer subscribed.
+        /// True once the peer has subscribed.
         bool subscribed = false;
     };
 
--- a/tests/unit/distribution/revision_exchange_test.cpp
+++ b/tests/unit/distribution/revision_exchange_test.cpp
@@ -19,7 +19,8 @@
     return std::make_shared<bytes const>(bytes(3, std::uint8_t(number)));
 }
 
-/// A few exchanges whose messages are delivered when the test says so.
+/// Several exchanges whose messages are delivered when the test calls
+/// deliver_all().
 struct exchange_fixture
 {
     struct node
@@ -184,9 +185,9 @@
     cr_assert_eq(f.updates_delivered, 2U);
 }
 
-// The zone is cut off from every control host; its neighbour still runs
-// with revision 9. The host that starts again there holds nothing and must
-// serve with what the zone knows, not wait for a control host.
+// A zone is cut off from every control host, and one of its entry hosts still
+// runs with revision 9. A host that restarts in the zone holds no revision and
+// must get this one instead of waiting for a control host.
 Test(revision_exchange, restarted_host_in_a_cut_off_zone_gets_the_neighbours)
 {
     exchange_fixture f;
@@ -204,9 +205,9 @@
     cr_assert_eq(f.nodes[restarted].exchange.current_revision(), 9U);
 }
 
-// A neighbour was frozen with revision 3 and wakes up when revision 7 is in
-// force. Whatever it sends, the host with 7 keeps it: a revision that went
-// back would undo an accepted change.
+// A peer is frozen with revision 3 and resumes when revision 7 is in force.
+// The host with revision 7 must keep it whatever the peer sends: an older
+// revision would undo an accepted change.
 Test(revision_exchange, older_revision_when_it_comes_late_is_dropped)
 {
     exchange_fixture f;
@@ -223,9 +224,9 @@
     cr_assert_eq(f.nodes[entry].installed.size(), 1U);
 }
 
-// The link that should push has gone silent without being closed yet; its
-// peer's update never arrives. Another control host announces the revision,
-// and after a moment the entry host fetches it there.
+// The pushing link delivers nothing but has not closed yet, so that the update
+// never arrives. Another control host announces the revision, and the entry
+// host fetches it there after fetch_after.
 Test(revision_exchange, announced_revision_when_not_pushed_is_fetched)
 {
     exchange_fixture f;
@@ -244,8 +245,8 @@
     cr_assert_eq(f.nodes[entry].exchange.current_revision(), 5U);
 }
 
-// The chosen link closes while an update is on its way. The next link is
-// chosen at once and brings what is missing, without waiting for a timer.
+// The pushing link closes while an update is in flight. Another pushing link
+// is chosen at once and delivers what is missing, without waiting for a timer.
 Test(revision_exchange, chosen_link_when_lost_is_replaced_at_once)
 {
     exchange_fixture f;
@@ -262,8 +263,8 @@
     cr_assert_eq(f.nodes[entry].exchange.current_revision(), 2U);
 }
 
-// Five hundred changes pass a host by. It gets the newest one, in one
-// update, and never sees those between.
+// A host misses five hundred changes. It gets the newest one in a single
+// update and none of those between.
 Test(revision_exchange, host_behind_by_hundreds_when_back_gets_the_newest)
 {
     exchange_fixture f;
