--- a/bilberrylead/membership/member_planner.cpp
+++ b/bilberrylead/membership/member_planner.cpp
@@ -13,8 +13,8 @@
 using agreement::membership_action;
 using agreement::membership_change_requested;
 
-/// How many voters share a place; hosts that have not said where they stand
-/// share none.
+/// Number of voters in the same region and zone as a host. Hosts that have not
+/// reported their location share it with none.
 struct colocated_voters
 {
     std::size_t in_region = 0;
@@ -31,7 +31,8 @@
            (host.linked && host.unresponsive_for < settings.replace_after);
 }
 
-/// Voters that answer, beside one host and in its places.
+/// Counts the responsive voters, except the host itself, that are in its
+/// region and zone.
 colocated_voters colocated_voters_of(planned_host const& host,
                                      std::vector<planned_host> const& hosts,
                                      member_planner_settings const& settings)
@@ -63,7 +64,8 @@
     return wanted;
 }
 
-/// The host without a vote that is best placed for one.
+/// The learner that shares its region and zone with the fewest voters; null if
+/// none can become a voter.
 planned_host const* best_learner(std::vector<planned_host> const& hosts,
                                  member_planner_settings const& settings)
 {
@@ -88,8 +90,9 @@
     return best;
 }
 
-/// The voter that the group misses least: silent ones first, the longest
-/// silent of them; then the one in the most crowded place.
+/// The voter that the group needs least: first the one that has been
+/// unresponsive longest, then the one that shares its region and zone with the
+/// most voters. Never the leader.
 planned_host const* least_needed_voter(std::vector<planned_host> const& hosts,
                                        member_planner_settings const& settings)
 {
@@ -115,8 +118,9 @@
     return worst;
 }
 
-/// True if the voters stand further apart with this host in the place of
-/// the most crowded one: after a region was away, the others hold its votes.
+/// True if the voters are spread better with this host in place of the least
+/// needed voter. This is the case after a region was unreachable and its votes
+/// were given to hosts in other regions.
 bool improves_spread(planned_host const& joining,
                      std::vector<planned_host> const& hosts,
                      member_planner_settings const& settings)
@@ -127,8 +131,9 @@
                colocated_voters_of(*leaving, hosts, settings);
 }
 
-/// A member without a vote that does not answer any more is not sent to for
-/// ever; one that should have become a voter makes room for another.
+/// Removes a member without a vote that no longer responds, so that entries
+/// are not sent to it forever. One that was to become a voter is removed
+/// earlier, so that another host can take its place.
 std::optional<membership_change_requested>
 remove_unresponsive(std::vector<planned_host> const& hosts,
                     member_planner_settings const& settings)
@@ -171,9 +176,10 @@
                           return is_responsive(host, settings);
                       }));
 
-    // Fewer hosts than wanted: an even number survives no more losses than
-    // one less. Never fewer voters than there are, though: those that are
-    // silent may come back with what only they hold.
+    // With fewer hosts than wanted, an odd number of voters is used: an even
+    // number survives no more losses than one voter less. The number of
+    // voters is never reduced for that, since unresponsive ones may return
+    // with entries that only they hold.
     std::size_t const odd =
         responsive % 2 == 0 ? responsive - std::min<std::size_t>(responsive, 1)
                             : responsive;
@@ -185,7 +191,7 @@
 next_change(std::vector<planned_host> const& hosts,
             member_planner_settings const& settings)
 {
-    // Whoever is there takes part, as a learner first.
+    // Every linked host becomes a member, as a learner first.
     for (planned_host const& host : hosts)
     {
         if (!host.member && host.linked)
--- a/bilberrylead/membership/member_planner.hpp
+++ b/bilberrylead/membership/member_planner.hpp
@@ -12,22 +12,23 @@
 namespace bilberrylead::membership
 {
 
-/// Voters that the group wants: with 2n+1 of them, n may be lost together
-/// with their disks. Whole zones and regions are borne by how the voters
-/// are spread, as far as the hosts allow.
+/// Number of voters that the group should have: with 2n+1 of them, n may be
+/// lost together with their disks. The loss of a complete zone or region is
+/// covered by spreading the voters, as far as the hosts allow.
 std::size_t target_voter_count(std::vector<planned_host> const& hosts,
                                member_planner_settings const& settings);
 
-/// The next change of membership, one member at a time, or nothing if the
-/// group is as it should be. Pure; asked again once the last change is
-/// settled.
+/// Returns the next membership change, which affects one member, or nothing if
+/// the group needs no change. A pure function; called again once the previous
+/// change is complete.
 ///
-/// Failure it answers: hosts die for good, lose their disks and are replaced
-/// by empty ones at other addresses, two in turn within seconds. If dead
-/// voters stayed in the group, the second loss would leave a group without
-/// a quorum, or an order in one copy. A dead voter's place is therefore
-/// given to a host that holds the log already: first the new vote, then the
-/// old one's removal, so that there are never fewer copies than before.
+/// Hosts may fail permanently, lose their disks and be replaced by empty hosts
+/// at other addresses, two of them one after the other within seconds. If
+/// failed voters stayed in the group, the second loss could leave the group
+/// without a quorum, or an order with a single copy. A failed voter is
+/// therefore replaced by a host that already holds the log. The new vote is
+/// added before the old one is removed, so that the number of copies never
+/// decreases.
 std::optional<agreement::membership_change_requested>
 next_change(std::vector<planned_host> const& hosts,
             member_planner_settings const& settings);
--- a/bilberrylead/membership/member_planner_settings.hpp
+++ b/bilberrylead/membership/member_planner_settings.hpp
@@ -10,20 +10,20 @@
 namespace bilberrylead::membership
 {
 
-/// How the group of control hosts keeps its size.
+/// How the size of the group of control hosts is maintained.
 struct member_planner_settings
 {
-    /// What must be borne at once.
+    /// Simultaneous losses that the group must survive.
     config::group_losses losses;
-    /// A voter that is silent for so long gives its vote to a host that
-    /// answers. Two election timeouts: a restart or a slow sync is over by
-    /// then, and a successor is in place within the few seconds after which
-    /// the next host may be lost.
+    /// A voter that has been unresponsive for this long is replaced by a
+    /// responsive host. Two election timeouts: long enough for a restart or a
+    /// slow sync to complete, and short enough that the replacement is in
+    /// place within the few seconds after which the next host may be lost.
     duration replace_after = std::chrono::milliseconds(1500);
-    /// A member without a vote that is silent for so long leaves the group;
-    /// if it comes back it is taken in again.
+    /// A member without a vote that has been unresponsive for this long is
+    /// removed from the group. It is added again if it returns.
     duration remove_after = std::chrono::seconds(8);
-    /// Voters at most: more make every order slower.
+    /// Maximum number of voters. More of them make every commit slower.
     std::size_t max_voters = 7;
 };
 
--- a/bilberrylead/membership/planned_host.hpp
+++ b/bilberrylead/membership/planned_host.hpp
@@ -9,30 +9,30 @@
 namespace bilberrylead::membership
 {
 
-/// A control host as the leader sees it when it looks at the membership.
+/// A control host as the leader sees it when it plans the membership.
 struct planned_host
 {
     /// The host.
     host_id host;
-    /// The life of its data folder that is linked or listed.
+    /// Incarnation of its data folder, from the membership or the link.
     std::uint64_t incarnation = 0;
-    /// Where it stands; empty if it has not said so.
+    /// Its availability zone; empty if it has not reported one.
     zone_id zone;
     /// The zone's region.
     region_id region;
-    /// True if it takes part in the group.
+    /// True if it is a member of the group, as a voter or a learner.
     bool member = false;
     /// True if its vote counts.
     bool voter = false;
-    /// True if it is to become a voter by itself once it caught up.
+    /// True if it becomes a voter automatically once it has caught up.
     bool becomes_voter = false;
-    /// True if it could vote at once.
+    /// True if its log is complete enough to vote at once.
     bool caught_up = false;
     /// True if there is a link to it.
     bool linked = false;
-    /// Time since it last answered as a member; zero for the leader.
+    /// Time since its last response as a member; zero for the leader.
     duration unresponsive_for{};
-    /// True for the leader itself.
+    /// True for the leader, which is the host that plans.
     bool leader = false;
 };
 
--- a/tests/unit/membership/member_planner_test.cpp
+++ b/tests/unit/membership/member_planner_test.cpp
@@ -26,7 +26,7 @@
 }
 
 /// Two hosts in each of three regions, each in a zone of its own. The first
-/// one leads; the first in each region are the founders.
+/// host leads; the first host of each region is an initial member.
 std::vector<planned_host> six_hosts()
 {
     std::vector<planned_host> hosts;
@@ -47,7 +47,7 @@
     return hosts;
 }
 
-/// Carries a change out as the group would, at once.
+/// Applies a change to the hosts at once, as the group would.
 void carry_out(std::vector<planned_host>& hosts,
                membership_change_requested const& change)
 {
@@ -64,7 +64,8 @@
     }
 }
 
-/// Plans until there is nothing left to do; fails if that never comes.
+/// Applies changes until none is left and returns their number; fails if the
+/// planner does not stop.
 std::size_t settle(std::vector<planned_host>& hosts)
 {
     for (std::size_t changes = 0; changes < 30; ++changes)
@@ -76,7 +77,7 @@
         }
         carry_out(hosts, *change);
     }
-    cr_assert_fail("the plan never comes to rest");
+    cr_assert_fail("the planner still changes the group after 30 changes");
     return 0;
 }
 
@@ -109,8 +110,8 @@
 
 } // namespace
 
-// Three seeds found the group; with three voters two lost disks could take
-// the only two copies of an order with them.
+// The group starts with three initial members. If these stayed the only
+// voters, the loss of two disks could destroy the only two copies of an order.
 Test(member_planner, founders_when_the_others_join_become_five_voters)
 {
     std::vector<planned_host> hosts = six_hosts();
@@ -127,8 +128,8 @@
                           }));
 }
 
-// A host dies for good. The spare learner gets a vote before the dead one
-// loses its own, so that there are never fewer copies than before.
+// A host fails permanently. The spare learner must become a voter before the
+// failed one is removed, so that the number of copies never decreases.
 Test(member_planner, dead_voter_is_replaced_before_it_is_removed)
 {
     std::vector<planned_host> hosts = six_hosts();
@@ -150,7 +151,7 @@
     cr_expect(second->host == dead->host);
 }
 
-// Two hosts are lost one after the other and come back as empty hosts at
+// Two hosts are lost one after the other and are replaced by empty hosts at
 // other addresses.
 Test(member_planner, two_hosts_replaced_in_turn_leave_five_voters_alive)
 {
@@ -185,8 +186,9 @@
     cr_expect_eq(voters(hosts), 5U);
 }
 
-// A region is cut off and comes back: its votes went to the others, and one
-// of them must not end up with more than the group can lose.
+// A region is cut off, its votes are given to hosts in other regions, and it
+// becomes reachable again. No region may keep more votes than the group can
+// lose.
 Test(member_planner, region_that_was_away_gets_its_votes_back)
 {
     std::vector<planned_host> hosts = six_hosts();
@@ -216,8 +218,9 @@
     }
 }
 
-// Half of the hosts are away for a moment: the group must not shrink to the
-// rest, since what was accepted may stand only with those that are away.
+// Most of the hosts are unreachable for a short time. The group must not
+// shrink to the rest, since accepted entries may be stored only on the
+// unreachable hosts.
 Test(member_planner, silent_majority_without_a_spare_keeps_its_votes)
 {
     std::vector<planned_host> hosts = six_hosts();
