--- a/bilberrylead/presence/control_link_plan.cpp
+++ b/bilberrylead/presence/control_link_plan.cpp
@@ -18,7 +18,7 @@
 void control_link_plan::group_received(
     std::uint64_t link, std::vector<link::group_host> const& reported_hosts)
 {
-    // What closed links named goes as soon as an open one speaks.
+    // Hosts reported by closed links are dropped once an open link reports.
     std::erase_if(this->hosts_by_link,
                   [this](auto const& known)
                   {
--- a/bilberrylead/presence/control_link_plan.hpp
+++ b/bilberrylead/presence/control_link_plan.hpp
@@ -14,37 +14,41 @@
 namespace bilberrylead::presence
 {
 
-/// Which control hosts one entry host keeps links to, by what those that are
-/// linked say. Few of them as a rule (see choose_control_links); all of
-/// them, and the seeds, while nobody names a leader.
+/// Plans which control hosts an entry host keeps links to, based on the group
+/// and leader that the linked control hosts report. Normally these are a few
+/// (see choose_control_links). While no linked host reports a leader, the plan
+/// contains all control hosts, and the entry host connects to its seeds too.
 ///
-/// Failure it answers: a cut leaves an entry host linked to control hosts
-/// that are cut off themselves. It would serve an old configuration for as
-/// long as the cut lasts. A cut-off control host knows no leader and says
-/// so, so that the entry host looks for others.
+/// After a network partition an entry host may be linked only to control hosts
+/// that are cut off themselves, and would serve an old configuration for as
+/// long as the partition lasts. A cut-off control host reports that it has no
+/// leader, and the entry host then searches for others.
 class control_link_plan
 {
 public:
-    /// The plan of an entry host in that region, without links yet.
+    /// Makes the plan for entry host `self` in `region`, without links.
     control_link_plan(host_id self, region_id region,
                       control_link_settings const& settings = {});
 
-    /// The control host behind a link names the hosts of its group.
+    /// Records the control hosts of the group, as reported over a link.
     void group_received(std::uint64_t link,
                         std::vector<link::group_host> const& reported_hosts);
 
-    /// It names the leader; an empty name: it knows none.
+    /// Records the leader reported over a link; empty if the control host
+    /// has none.
     void leader_received(std::uint64_t link, host_id const& leader,
                          instant now);
 
-    /// The link is gone. What it named stays until another one is heard: a
-    /// process that lost all of its links still has to know whom to call.
+    /// Removes a closed link. The hosts that it reported are kept until an
+    /// open link reports the group: a process that has lost all of its links
+    /// must still have hosts to connect to.
     void link_closed(std::uint64_t link);
 
-    /// True if no linked control host has named a leader for too long.
+    /// True if no control host has been reported yet, or if no linked control
+    /// host has reported a leader for `search_after`.
     bool is_searching(instant now) const;
 
-    /// The control hosts to keep links to.
+    /// Returns the control hosts to keep links to.
     std::set<host_id> desired_links(instant now) const;
 
 private:
--- a/bilberrylead/presence/control_link_settings.hpp
+++ b/bilberrylead/presence/control_link_settings.hpp
@@ -9,20 +9,21 @@
 namespace bilberrylead::presence
 {
 
-/// How many control hosts an entry host keeps links to.
+/// Limits on the control hosts that an entry host keeps links to.
 struct control_link_settings
 {
-    /// A group of up to so many hosts is linked whole.
+    /// Largest group in which an entry host links to every control host.
     std::size_t max_fully_linked_hosts = 9;
-    /// Links to control hosts of the own region: callers of the region are
-    /// sent to the entry hosts that these hear.
+    /// Number of links to control hosts of the local region. These hosts
+    /// direct the callers of the region to the entry hosts linked to them.
     std::size_t local_region_links = 3;
-    /// Links to control hosts of each other region. With two in different
-    /// zones one lost zone cuts no entry host off from a region.
+    /// Number of links to control hosts of each other region. With two in
+    /// different zones, the loss of one zone cuts no entry host off from a
+    /// region.
     std::size_t links_per_remote_region = 2;
-    /// All control hosts are called once nobody has named a leader for so
-    /// long: an election is over by then, so that a change of leader makes no
-    /// storm of calls.
+    /// Time without a reported leader after which an entry host links to all
+    /// control hosts. Longer than an election, so that a change of leader
+    /// causes no storm of connections.
     duration search_after = std::chrono::milliseconds(2500);
 };
 
--- a/bilberrylead/presence/control_links.cpp
+++ b/bilberrylead/presence/control_links.cpp
@@ -17,13 +17,13 @@
 namespace
 {
 
-/// A control host with its rank for one entry host.
+/// A control host and its rank for one entry host.
 struct ranked_host
 {
     std::uint64_t rank = 0;
     host_id id;
     zone_id zone;
-    /// Hosts of the same zone with a higher rank.
+    /// Number of hosts of the same zone that have a higher rank.
     std::size_t round = 0;
 };
 
@@ -33,8 +33,8 @@
     return policy::generator(hash(self)).next() ^ hash(other);
 }
 
-/// The hosts of one region in the order in which they are chosen: the first
-/// of each zone, then the second of each, and so on.
+/// The hosts of one region in the order in which they are selected: the first
+/// of each zone, then the second of each zone, and so on.
 std::vector<ranked_host>
 selection_order(std::vector<link::group_host> const& hosts,
                 region_id const& region, host_id const& self)
@@ -80,8 +80,8 @@
     for (link::group_host const& host : hosts)
     {
         regions.insert(host.region);
-        // A host whose place is not told yet may be the only one of its
-        // region.
+        // A host that has not reported its region yet may be the only one of
+        // that region.
         bool const is_linked =
             hosts.size() <= settings.max_fully_linked_hosts ||
             host.region.empty() || query.leaders.contains(host.id);
--- a/bilberrylead/presence/control_links.hpp
+++ b/bilberrylead/presence/control_links.hpp
@@ -11,30 +11,30 @@
 namespace bilberrylead::presence
 {
 
-/// What an entry host asks: which control hosts it keeps links to.
+/// The entry host for which control hosts are selected.
 struct control_link_query
 {
-    /// This entry host.
+    /// Id of the entry host.
     host_id self;
     /// Its region.
     region_id region;
-    /// Who is said to lead the group; more than one while news of a change
-    /// is under way.
+    /// Hosts that are reported as leader; more than one while updates on a
+    /// change of leader are in flight.
     std::set<host_id> leaders;
 };
 
-/// The control hosts that an entry host keeps links to: some of its own
-/// region, some of each other one, in as many zones as there are, and
-/// whoever leads. Of a small group all of them. Entry hosts choose apart
-/// from each other (rendezvous hashing), so that each control host hears
-/// about as many of them as the next one.
+/// Selects the control hosts that an entry host keeps links to: some of its
+/// own region and some of each other region, in as many zones as possible, and
+/// the reported leaders. In a small group, all of them. Each entry host selects
+/// independently by rendezvous hashing, so that all control hosts have about
+/// the same number of entry hosts linked to them.
 ///
-/// Load it answers: with a link from every entry host to every control host
-/// a heartbeat and a keep-alive of hundreds of hosts reach dozens, and most
-/// of what the processes do is to tell each other that they are there.
-/// What a link is for (accepted configurations, listings, being named to
-/// callers) a few of them in different places give as well: a lost zone or
-/// region leaves an entry host with links to the others.
+/// If every entry host linked to every control host, the heartbeats and
+/// keep-alives of hundreds of hosts would reach dozens of hosts and become
+/// most of the processes' load. A few links in different zones and regions
+/// provide the same (accepted configurations, listings, and being offered to
+/// callers): after the loss of a zone or region, an entry host still has links
+/// to the others.
 std::set<host_id>
 choose_control_links(std::vector<link::group_host> const& hosts,
                      control_link_query const& query,
--- a/bilberrylead/presence/entry_table.hpp
+++ b/bilberrylead/presence/entry_table.hpp
@@ -20,50 +20,51 @@
 namespace bilberrylead::presence
 {
 
-/// The entry hosts as one control host hears them, from their heartbeats.
+/// The entry hosts that send heartbeats to one control host.
 ///
-/// Failure it answers: a caller that is sent to a dead host loses its
-/// request, and every host that keeps naming it makes more callers lose
-/// theirs. Each control host goes only by what it hears itself, so that one
-/// in a cut-off zone names the entry hosts of that zone and no others.
+/// A caller that is directed to a failed host loses its request, and so do more
+/// callers for as long as any control host returns that host. Each control host
+/// uses only the heartbeats that it receives itself, so that one in a cut-off
+/// zone returns the entry hosts of that zone and no others.
 class entry_table
 {
 public:
-    /// Makes a table without hosts.
+    /// Makes an empty table. `seed` determines where replies begin.
     entry_table(entry_table_settings const& settings, process_seed const& seed);
 
-    /// A heartbeat came over a link.
+    /// Records a heartbeat received over a link.
     void record_heartbeat(std::uint64_t link, host_id const& host,
                           link::entry_presence const& heartbeat, instant now);
 
-    /// A link is gone: what it carried is not heard any more.
+    /// Removes the hosts whose last heartbeat arrived over a closed link.
     void remove_link(std::uint64_t link);
 
-    /// Which hosts a caller should use: those of its region, so that a zone
-    /// whose few hosts fail costs its callers no more than a retry; those of
-    /// other regions only if its own has none. Of many hosts each answer
-    /// names the next few in turn, so that callers spread over all of them;
-    /// each control host begins elsewhere.
+    /// Returns the hosts that a caller should use: those of its region, and
+    /// not only of its zone, so that the failure of a zone's few hosts costs
+    /// its callers no more than a retry. Hosts of other regions are returned
+    /// only if its own has none. If there are many hosts, successive replies
+    /// rotate through them, so that callers are spread over all of them. Each
+    /// control host begins at a different position.
     steering_reply reply_to(steering_query const& query, instant now);
 
-    /// Hosts that are ready and heard.
+    /// Number of ready hosts whose heartbeat has not timed out.
     std::size_t ready_hosts(instant now) const;
 
-    /// The most of them that stand in one region.
+    /// Number of such hosts in the region that has most of them.
     std::size_t max_ready_hosts_per_region(instant now) const;
 
-    /// A host as it was last heard.
+    /// A host with its last heartbeat.
     struct row
     {
-        /// What it said.
+        /// The heartbeat.
         link::entry_presence heartbeat;
-        /// The link that carried it.
+        /// Link that the heartbeat arrived on.
         std::uint64_t link = 0;
-        /// When.
+        /// Time of receipt.
         instant received_at{};
     };
 
-    /// All hosts that have a link, by name.
+    /// All hosts that have a link, by id.
     std::map<host_id, row> const& hosts() const
     {
         return this->rows;
@@ -74,7 +75,8 @@
 
     entry_table_settings settings;
     std::map<host_id, row> rows;
-    /// Where the next answer begins, if it cannot name all hosts.
+    /// Position at which the next reply begins, modulo the number of hosts,
+    /// if it cannot contain all of them.
     std::size_t rotation;
 };
 
--- a/bilberrylead/presence/entry_table_settings.hpp
+++ b/bilberrylead/presence/entry_table_settings.hpp
@@ -9,20 +9,21 @@
 namespace bilberrylead::presence
 {
 
-/// How a control host hears of entry hosts and names them to callers.
+/// How a control host tracks entry hosts and returns them to callers.
 struct entry_table_settings
 {
-    /// An entry host that was not heard for so long is not named any more.
-    /// Three heartbeats: one may get lost and one be late.
+    /// An entry host is not returned once its last heartbeat is this old.
+    /// Three heartbeat intervals: one heartbeat may be lost and one delayed.
     duration heartbeat_timeout = std::chrono::milliseconds(1600);
-    /// How long callers may use an answer at most, by the settings; an
-    /// answer says less if `ttl` is shorter.
+    /// Upper bound from the settings on how long callers may use a reply.
+    /// The shorter of `ttl` and this applies.
     duration max_ttl = std::chrono::seconds(5);
-    /// How long callers may use an answer. A host that is lost is out of
-    /// use after silence_limit and this; a shorter time costs look-ups.
+    /// How long callers may use a reply. A failed host is out of use after
+    /// heartbeat_timeout plus this; a shorter time costs more look-ups.
     duration ttl = std::chrono::seconds(2);
-    /// Hosts named at most. A caller needs a few, so that one that fails it
-    /// costs a retry and no look-up; more only make the answer longer.
+    /// Maximum number of hosts in a reply. A caller needs a few, so that a
+    /// failing host costs a retry instead of a look-up; more only make the
+    /// reply longer.
     std::size_t max_hosts_per_reply = 16;
 };
 
--- a/bilberrylead/presence/steering_query.hpp
+++ b/bilberrylead/presence/steering_query.hpp
@@ -6,12 +6,12 @@
 namespace bilberrylead::presence
 {
 
-/// A caller asks which entry hosts to use.
+/// A caller's query for the entry hosts that it should use.
 struct steering_query
 {
-    /// The caller's region; empty if it does not say.
+    /// The caller's region; empty if not given.
     region_id region;
-    /// The caller's availability zone; empty if it does not say.
+    /// The caller's availability zone; empty if not given.
     zone_id zone;
 };
 
--- a/bilberrylead/presence/steering_reply.hpp
+++ b/bilberrylead/presence/steering_reply.hpp
@@ -9,13 +9,13 @@
 namespace bilberrylead::presence
 {
 
-/// Which entry hosts a caller should use.
+/// Reply with the entry hosts that a caller should use.
 struct steering_reply
 {
-    /// Where they take callers, in no order of merit; empty if this control
-    /// host hears no entry host that is ready.
+    /// The addresses at which they accept callers, in no order of preference;
+    /// empty if this control host receives heartbeats of no ready entry host.
     std::vector<config::endpoint> entry_hosts;
-    /// How long the caller may use this.
+    /// How long the caller may use this reply.
     duration ttl{};
 };
 
--- a/tests/unit/presence/control_link_plan_test.cpp
+++ b/tests/unit/presence/control_link_plan_test.cpp
@@ -22,7 +22,8 @@
 
 instant const start = instant{} + 1h;
 
-/// Nine zones in three regions, with so many control hosts each.
+/// Nine zones in three regions, with the given number of control hosts in
+/// each zone.
 std::vector<group_host> group_of(std::size_t hosts_a_zone)
 {
     std::vector<group_host> hosts;
@@ -58,8 +59,8 @@
 
 } // namespace
 
-// Hundreds of entry hosts with a link and two heartbeats a second to each of
-// dozens of control hosts do little else.
+// Guards against overload by heartbeats: hundreds of entry hosts that each
+// send two heartbeats a second to dozens of control hosts do little else.
 Test(control_links, entry_host_of_a_large_group_links_a_few_in_all_places)
 {
     std::vector<group_host> const hosts = group_of(3);
@@ -86,8 +87,9 @@
         hosts.size());
 }
 
-// Callers ask any control host of their zone, and get the entry hosts that it
-// hears. One that hears few sends all of its callers to them.
+// Callers query any control host of their zone and get the entry hosts that
+// are linked to it. A control host with few links would direct all of its
+// callers to these few.
 Test(control_links, control_hosts_hear_about_as_many_entry_hosts_each)
 {
     std::vector<group_host> const hosts = group_of(3);
@@ -105,7 +107,7 @@
     {
         if (host.region == region_id("a"))
         {
-            // A third of them each, but for chance.
+            // The expected number is a third; hashing makes it vary.
             cr_expect_geq(links_by_host[host.id], entry_hosts / 6);
             cr_expect_leq(links_by_host[host.id], entry_hosts / 2);
         }
@@ -142,13 +144,14 @@
                   .contains(host_id("new")));
 }
 
-// The core is cut in two, and all that this entry host is linked to are in
-// the smaller half: they know no leader and accept nothing. An operator's
-// change in the other half would never reach this entry host's callers.
+// The control hosts are partitioned, and all that this entry host is linked to
+// are in the minority: they have no leader and accept no changes. An
+// operator's change in the majority would never reach this entry host's
+// callers.
 Test(control_link_plan, links_without_a_leader_make_it_call_all)
 {
     control_link_plan plan(entry_host(1), region_id("a"));
-    cr_expect(plan.is_searching(start), "nobody is known yet");
+    cr_expect(plan.is_searching(start), "no host was reported yet");
     plan.group_received(1, group_of(3));
     plan.leader_received(1, host_id("a1-0"), start);
     cr_expect_not(plan.is_searching(start));
@@ -163,7 +166,8 @@
     cr_expect(plan.desired_links(start + 5s).contains(host_id("c1-0")));
 }
 
-// All links are lost at once. Whom to call is still known.
+// After all links are lost at once, the plan must still contain hosts to
+// connect to.
 Test(control_link_plan, closed_links_leave_what_they_named)
 {
     control_link_plan plan(entry_host(1), region_id("a"));
--- a/tests/unit/presence/entry_table_test.cpp
+++ b/tests/unit/presence/entry_table_test.cpp
@@ -55,8 +55,8 @@
                  1U);
 }
 
-// A host is frozen or cut off: its link stays open and says nothing. Callers
-// that are still sent there lose their requests.
+// A host is frozen or cut off: its link stays open but delivers no heartbeats.
+// Callers that are still directed to the host lose their requests.
 Test(entry_table, host_that_fell_silent_is_not_named)
 {
     entry_table table({}, test_seed);
@@ -75,8 +75,8 @@
     cr_expect(table.reply_to(query_from("near"), start).entry_hosts.empty());
 }
 
-// A host was started again over a new link before the old one was seen to
-// end: the end of the old one says nothing of the new one.
+// A host has restarted and opened a new link before the old one is reported
+// closed. Closing the old link must not remove the host.
 Test(entry_table, end_of_an_older_link_leaves_the_host_named)
 {
     entry_table table({}, test_seed);
@@ -100,8 +100,8 @@
     cr_expect_eq(table.ready_hosts(start), 0U);
 }
 
-// A region with more hosts than an answer names: without turns the last ones
-// by name would never get a caller, and the first ones all of them.
+// A region has more hosts than fit into a reply. Without rotation the last
+// hosts by name would never get a caller, and the first ones would get all.
 Test(entry_table, many_hosts_are_named_equally_often)
 {
     constexpr std::uint16_t hosts = 40;
@@ -128,8 +128,9 @@
     }
 }
 
-// Guards against control hosts that begin their answers alike: the first
-// callers, who ask any of them, would all be sent to the same few entry hosts.
+// Guards against control hosts that all begin their replies at the same entry
+// host: the first callers, which query any of them, would all be directed to
+// the same few entry hosts.
 Test(entry_table, control_hosts_begin_with_different_entry_hosts)
 {
     constexpr std::uint16_t hosts = 40;
@@ -159,9 +160,9 @@
     cr_expect(table.reply_to(query_from("near"), start).ttl == 700ms);
 }
 
-// Eight hosts in one region and one in each of two others: shared among a
-// third of ten, a bound of the large region's hosts would be broken twice
-// over.
+// Eight hosts are in one region and one in each of two others. If a limit on
+// the large region's hosts were divided by a third of the ten hosts, it would
+// be exceeded more than twofold.
 Test(entry_table, hosts_are_counted_in_the_region_with_the_most)
 {
     entry_table table({}, test_seed);
