--- a/bilberrylead/discovery/list_changes.hpp
+++ b/bilberrylead/discovery/list_changes.hpp
@@ -11,27 +11,28 @@
 namespace bilberrylead::discovery
 {
 
-/// An upstream as one process tells another of it.
+/// An upstream as reported by the upstream list or by another process. Times
+/// are relative, since the processes' clocks differ.
 struct reported_upstream
 {
-    /// As listed_upstream has it.
+    /// Id, service, zone, address, slots, and whether it is leaving.
     config::upstream upstream;
-    /// How much longer it is cold, when this was sent.
+    /// How much longer it is cold, counted from the time of sending.
     duration cold_remaining{};
 };
 
-/// Brings a listing: what changed since another one, or all of it.
+/// A listing, either in full or as the difference from another listing.
 struct list_changes
 {
-    /// The listing that it starts from; ignored if `whole`.
+    /// The listing that the changes apply to; ignored if `is_full`.
     list_position base;
-    /// The listing that it leads to.
+    /// The listing that results from the changes.
     list_position target;
-    /// True if it holds every upstream.
+    /// True if `put` contains every upstream of the listing.
     bool is_full = false;
-    /// Upstreams that are new or differ.
+    /// Upstreams that were added or changed.
     std::vector<reported_upstream> put;
-    /// Upstreams that are listed no more.
+    /// Upstreams that are no longer listed.
     std::vector<upstream_id> removed;
 };
 
--- a/bilberrylead/discovery/list_page.hpp
+++ b/bilberrylead/discovery/list_page.hpp
@@ -12,17 +12,17 @@
 namespace bilberrylead::discovery
 {
 
-/// One page of the list of upstreams, decoded.
+/// One decoded page of the upstream list.
 struct list_page
 {
-    /// The upstreams on it that could be read.
+    /// The upstreams on the page that could be decoded.
     std::vector<reported_upstream> upstreams;
-    /// Entries that could not be read: they name no upstream to use.
+    /// Number of entries that could not be decoded.
     std::size_t unreadable = 0;
-    /// Names the next page; empty on the last one.
+    /// Identifies the next page; empty on the last page.
     std::string next;
 
-    /// Adds an entry; nothing stands for one that could not be read.
+    /// Adds an entry; nullopt if it could not be decoded.
     void add(std::optional<reported_upstream> entry)
     {
         if (entry.has_value())
--- a/bilberrylead/discovery/list_part.hpp
+++ b/bilberrylead/discovery/list_part.hpp
@@ -13,35 +13,36 @@
 namespace bilberrylead::discovery
 {
 
-/// One part of the list of upstreams while it is being read: its pages come
-/// one after the other, each page naming the next one.
+/// One part of the upstream list while it is being read. Its pages are read in
+/// sequence, since each page identifies the next one.
 struct list_part
 {
-    /// Only upstreams of this zone; empty: all of them.
+    /// The zone whose upstreams are read; empty for all zones.
     zone_id zone;
-    /// Number of the call under way; 0 if there is none.
+    /// Number of the call in flight; 0 if there is none.
     std::uint64_t pending_call = 0;
-    /// When that call was made.
+    /// Time at which that call was made.
     instant call_started_at{};
-    /// No call before this.
+    /// Earliest time of the next call.
     instant not_before{};
-    /// The page that is asked for next; empty for the first.
+    /// The page to request next; empty for the first.
     std::string next_page;
-    /// Pages read so far.
+    /// Number of pages read so far.
     std::size_t pages = 0;
-    /// What they had.
+    /// Upstreams on these pages.
     std::vector<listed_upstream> upstreams;
-    /// True once the last page is here.
+    /// True once the last page has been read.
     bool complete = false;
 
-    /// True if a call for its next page may be made.
+    /// True if its next page may be requested.
     bool is_due(instant now) const
     {
         return !this->complete && this->pending_call == 0 &&
                now >= this->not_before;
     }
 
-    /// A page came, which names the next one; empty after the last.
+    /// Moves on to page `next` after a page was received; empty if that was
+    /// the last one. Stops after `max_pages`.
     void advance(std::string const& next, std::size_t max_pages)
     {
         this->pending_call = 0;
@@ -50,7 +51,7 @@
         this->complete = next.empty() || this->pages >= max_pages;
     }
 
-    /// Starts from the first page again, no earlier than `when`.
+    /// Restarts from the first page, no earlier than `when`.
     void restart(instant when)
     {
         this->pending_call = 0;
--- a/bilberrylead/discovery/list_position.hpp
+++ b/bilberrylead/discovery/list_position.hpp
@@ -7,12 +7,12 @@
 namespace bilberrylead::discovery
 {
 
-/// Orders the listings that readers of the list hand out. The term is the
-/// fencing number: a reader that was replaced while it was frozen hands out
-/// listings of its old term, which nobody takes any more.
+/// Orders the listings that the readers of the upstream list produce. The term
+/// is the fencing token: a reader that was replaced while it was frozen sends
+/// listings of its old term, which every process rejects.
 struct list_position
 {
-    /// Term of the leader that read the list; 0: never read.
+    /// Term of the leader that read the list; 0 if it was never read.
     std::uint64_t term = 0;
     /// Number of the listing within the term.
     std::uint64_t number = 0;
--- a/bilberrylead/discovery/list_reader.cpp
+++ b/bilberrylead/discovery/list_reader.cpp
@@ -90,8 +90,9 @@
     }
 }
 
-/// The survey has one call in each reading, since a list that takes few calls
-/// leaves it no time between them, and besides that what the zones leave.
+/// Selects the part whose next page is requested. A full scan gets one call in
+/// each reading, since with a low rate limit the zones would leave it none,
+/// and otherwise the calls that the zones do not need.
 list_part* list_reader::due_part(instant now)
 {
     bool const full_scan_is_due =
@@ -108,7 +109,7 @@
                                    });
     if (part != this->parts.end())
     {
-        // Parts take turns, so that all of them end at about the same time.
+        // Parts are read round-robin, so that all end at about the same time.
         std::rotate(part, std::next(part), this->parts.end());
         return &this->parts.back();
     }
@@ -228,7 +229,7 @@
     this->expected = all_upstreams.size();
     if (!by_zone)
     {
-        // By zone only known ones are seen.
+        // A reading by zone cannot show upstreams in unknown zones.
         this->zones_are_known =
             std::all_of(all_upstreams.begin(), all_upstreams.end(),
                         [this](listed_upstream const& each)
--- a/bilberrylead/discovery/list_reader.hpp
+++ b/bilberrylead/discovery/list_reader.hpp
@@ -16,58 +16,59 @@
 namespace bilberrylead::discovery
 {
 
-/// Reads the list of upstreams page by page, no faster than the list
-/// allows. One host of the group reads at a time: whoever leads, so that
-/// the calls, which are counted over all hosts, stay within the bound. A
-/// reducer without clock or I/O.
+/// Reads the upstream list page by page, within the rate limit of its API.
+/// Only the leader reads, so that the calls, which are counted over all hosts,
+/// stay within the limit. A reducer without clock or I/O.
 ///
-/// Load it answers: a list of many pages in another region. A page names the
-/// next one, so that pages cost a round trip each: with thirty of them an
-/// upstream that leaves is found after seconds. A long list is therefore
-/// read by zone, all zones at the same time. Now and then a survey of the
-/// list of all zones looks for zones that this host was not told of; it goes
-/// on beside the readings by zone and holds none of them up.
+/// Each page identifies the next one, so that every page costs a round trip.
+/// For a list of thirty pages in another region, a leaving upstream would be
+/// found only after seconds. A long list is therefore read by zone, all zones
+/// concurrently. From time to time a full scan over all zones looks for zones
+/// that are not in this host's settings. It runs concurrently with the readings
+/// by zone and delays none of them.
 class list_reader
 {
 public:
-    /// Makes a reader that does not read yet.
+    /// Makes an inactive reader.
     explicit list_reader(list_reader_settings const& settings);
 
-    /// Starts or stops reading; an answer that is still on its way to a
-    /// reader that was stopped counts for nothing.
+    /// Starts or stops reading. Answers to calls that were in flight when the
+    /// reader was stopped are ignored.
     void set_active(bool should_read, instant now);
 
-    /// True if it reads.
+    /// True while the reader is reading.
     bool is_active() const
     {
         return this->active;
     }
 
-    /// What the list is expected to hold, before the first reading of this
-    /// reader has ended: `upstreams` of them, in known zones only or not.
+    /// Sets the expected number of upstreams, and whether all of them are in
+    /// known zones, until this reader has completed its first reading.
     void expect(std::size_t upstreams, bool only_known_zones);
 
-    /// True if a zone is among those by which the list is read.
+    /// True if a zone is among the zones in the settings.
     bool has_zone(zone_id const& zone) const;
 
-    /// A call that is due now, if any; there may be more. Its answer, or its
-    /// failure, is reported by page_read or call_failed.
+    /// Returns a call that is due now, if any; there may be more. The result
+    /// of the call is passed to page_received or call_failed.
     std::optional<page_call> next_call(instant now);
 
-    /// A page came; gives the whole list once its last page is here.
+    /// Handles a received page. Returns the complete list once its last page
+    /// has been read.
     std::optional<std::vector<listed_upstream>>
     page_received(std::uint64_t number, list_page const& page, instant now);
 
-    /// A call failed; its part of the reading starts again after a pause.
+    /// Handles a failed call: its part of the list is read again from the
+    /// first page after `retry_delay`.
     void call_failed(std::uint64_t number, instant now);
 
-    /// The upstreams that leave, by the pages of the reading under way.
+    /// The leaving upstreams on the pages of the current reading.
     std::vector<listed_upstream> const& leaving_so_far() const
     {
         return this->leaving;
     }
 
-    /// When the list was last read whole; nothing if it never was.
+    /// Time at which the list was last read completely, if ever.
     std::optional<instant> last_read() const
     {
         return this->last_read_at;
@@ -93,7 +94,7 @@
     bool zones_are_known = false;
     std::vector<list_part> parts;
     std::optional<list_part> full_scan;
-    // True once the survey had a call in the reading under way.
+    // True once the full scan has had a call in the current reading.
     bool full_scan_has_called = false;
     std::vector<listed_upstream> leaving;
     std::optional<instant> last_read_at;
--- a/bilberrylead/discovery/list_reader_settings.hpp
+++ b/bilberrylead/discovery/list_reader_settings.hpp
@@ -11,39 +11,42 @@
 namespace bilberrylead::discovery
 {
 
-/// How the list of upstreams is read.
+/// How the upstream list is read.
 struct list_reader_settings
 {
-    /// From one reading to the next. An upstream that leaves must be out of
-    /// use within seconds of being listed so; a reading, its way to the
-    /// entry hosts and one failed reading fit three times into three
-    /// seconds.
-    duration period = std::chrono::milliseconds(800);
-    /// The same for a list that is read by zone: its many calls are paid for,
-    /// and one reading with its way to the entry hosts still fits well into
+    /// Interval from the start of one reading to the next. An upstream must be
+    /// out of use within seconds after it is listed as leaving. A reading, the
+    /// update to the entry hosts and one failed reading fit three times into
     /// three seconds.
+    duration period = std::chrono::milliseconds(800);
+    /// The same for a list that is read by zone. It takes many calls, which
+    /// are paid for; a reading and the update to the entry hosts still fit
+    /// well into three seconds.
     duration long_list_period = std::chrono::milliseconds(1600);
-    /// Calls a second that the list takes from all hosts together; over 0.
+    /// Rate limit of the list for all hosts together, calls a second; over 0.
     double calls_per_second = 10;
-    /// Share of those that this reader uses at most: during a change of
-    /// leader two hosts may read at the same time.
+    /// Share of the rate limit that this reader may use, over 0. During a
+    /// change of leader two hosts may read at the same time.
     double share = 0.4;
-    /// Calls that may be made up for at once when the reader was asked late.
-    /// It is asked by a timer that is coarser than a fast list's pauses.
+    /// Maximum number of overdue calls that may be made at once. The timer
+    /// that drives the reader is coarser than the call interval of a list
+    /// with a high rate limit.
     double max_burst_calls = 3;
-    /// A call without an answer has failed after this time.
+    /// Time after which a call without an answer has failed.
     duration call_timeout = std::chrono::milliseconds(1000);
-    /// Pause after a failed call.
+    /// Delay after a failed call.
     duration retry_delay = std::chrono::milliseconds(250);
-    /// Pages of one part of one reading at most, against a list without end.
+    /// Maximum number of pages of one part in one reading, in case the list
+    /// never ends.
     std::size_t max_pages = 10000;
-    /// The zones by which a long list is read in parts; empty: never.
+    /// The zones by which a long list is read; if empty, it is never read by
+    /// zone.
     std::vector<zone_id> zones;
-    /// Upstreams from which on the list is read by zone. Below that it has
-    /// few pages, and one for each zone would be more of them.
+    /// Number of upstreams from which the list is read by zone. A shorter list
+    /// has fewer pages than there would be with a page for each zone.
     std::size_t zone_split_threshold = 600;
-    /// Readings by zone from one survey of all zones to the next, at least 1:
-    /// a survey shows upstreams in zones that this host was not told of.
+    /// Number of readings by zone from one full scan to the next, at least 1.
+    /// A full scan shows upstreams in zones that are not in the settings.
     std::size_t readings_per_full_scan = 16;
 };
 
--- a/bilberrylead/discovery/listed_upstream.hpp
+++ b/bilberrylead/discovery/listed_upstream.hpp
@@ -7,13 +7,14 @@
 namespace bilberrylead::discovery
 {
 
-/// One upstream as the list of upstreams has it. Its id names one start of
-/// it: an upstream that was started again has another id.
+/// One upstream of the upstream list. Its id identifies one incarnation: an
+/// upstream that has restarted has another id.
 struct listed_upstream
 {
-    /// Id, service, zone, address, slots, and whether it leaves.
+    /// Id, service, zone, address, slots, and whether it is leaving.
     config::upstream upstream;
-    /// It is cold until then, by the clock of whoever holds this.
+    /// Time until which it is cold, by the clock of the process that holds
+    /// the listing.
     instant cold_until{};
 };
 
--- a/bilberrylead/discovery/page_call.hpp
+++ b/bilberrylead/discovery/page_call.hpp
@@ -9,14 +9,14 @@
 namespace bilberrylead::discovery
 {
 
-/// Ask for one page of the list of upstreams.
+/// A request for one page of the upstream list.
 struct page_call
 {
-    /// Number of the call, for its answer.
+    /// Identifies the call when its answer arrives.
     std::uint64_t number = 0;
-    /// Only upstreams of this zone; empty: all of them.
+    /// The zone whose upstreams are requested; empty for all zones.
     zone_id zone;
-    /// Names the page; empty for the first.
+    /// Identifies the page; empty for the first.
     std::string page;
 };
 
--- a/bilberrylead/discovery/upstream_listing.cpp
+++ b/bilberrylead/discovery/upstream_listing.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-/// Two readings of one cold time differ by the time that a call takes; only
-/// a larger difference is news.
+/// Two readings of the same cold time differ by the duration of a call. Only a
+/// larger difference counts as a change.
 constexpr duration cold_tolerance = std::chrono::milliseconds(400);
 
 bool differs(listed_upstream const& before, listed_upstream const& after,
@@ -21,7 +21,7 @@
     {
         return true;
     }
-    // A warm one that stays warm says nothing, whenever it became so.
+    // Cold times that have passed are equal: both upstreams are warm.
     instant const old_end = std::max(before.cold_until, now);
     instant const new_end = std::max(after.cold_until, now);
     return std::chrono::abs(new_end - old_end) > cold_tolerance;
--- a/bilberrylead/discovery/upstream_listing.hpp
+++ b/bilberrylead/discovery/upstream_listing.hpp
@@ -13,48 +13,51 @@
 namespace bilberrylead::discovery
 {
 
-/// What became of changes that were handed to a listing.
+/// Result of applying changes to a listing.
 enum class apply_result
 {
-    /// The listing is the one that they lead to.
+    /// The changes were applied; the listing is now at their target.
     applied,
-    /// They lead to a listing that is not newer.
+    /// Ignored: their target is not newer than the listing.
     not_newer,
-    /// They start from another listing than the one held: ask for all of it.
+    /// Ignored: their base is not the current listing. The receiver must
+    /// request the full listing.
     base_mismatch,
 };
 
-/// The upstreams as one process knows them: read from the list itself, or
-/// told by others. Never goes back to an older position. One thread.
+/// The upstreams as held by one process, either read from the upstream list
+/// or received from another process. Its position never decreases. For use by
+/// one thread.
 class upstream_listing
 {
 public:
-    /// Takes what was read from the list itself; the position grows if
-    /// anything changed, or if `term` is newer. Returns what to tell others,
-    /// nothing if nothing is new.
+    /// Applies a complete reading of the upstream list. The position increases
+    /// if anything has changed or `term` is newer. Returns the changes to send
+    /// to other processes, or nothing if there are none.
     std::optional<list_changes>
     apply_reading(std::vector<listed_upstream> const& found, std::uint64_t term,
                   instant now);
 
-    /// Takes of a part of the list what can't wait for the rest of it:
-    /// upstreams that are leaving now and were not before. Returns what to
-    /// tell others, nothing if there is none, or if the listing held is not
-    /// of `term`: a whole reading comes first then.
+    /// Applies the part of an incomplete reading that cannot wait for the
+    /// rest: upstreams that are leaving and were not before. Returns the
+    /// changes to send to other processes, or nothing if there are none or if
+    /// the current listing is not of `term`; a complete reading of that term
+    /// must come first then.
     ///
-    /// Load it answers: a list of many pages in another region takes seconds
-    /// to read; a leaving upstream on its first page got requests all that
-    /// time, and as long again if it left just after that page was read.
+    /// A list of many pages in another region takes seconds to read. Without
+    /// this, a leaving upstream on its first page would get requests all that
+    /// time, and for twice as long if it left just after that page was read.
     std::optional<list_changes>
     apply_leaving(std::vector<listed_upstream> const& part, std::uint64_t term,
                   instant now);
 
-    /// Takes what another process told.
+    /// Applies changes received from another process.
     apply_result apply(list_changes const& changes, instant now);
 
-    /// All of it, for a process that has another base.
+    /// Returns the full listing, for a process that holds another base.
     list_changes full_listing(instant now) const;
 
-    /// Which listing this is.
+    /// Position of the current listing.
     list_position position() const
     {
         return this->current;
--- a/tests/unit/discovery/list_reader_test.cpp
+++ b/tests/unit/discovery/list_reader_test.cpp
@@ -52,8 +52,9 @@
     cr_expect_eq(upstreams->size(), 2U);
 }
 
-// The platform bounds the calls of all hosts together. Two hosts may read at
-// once while the leader changes; together they keep the bound.
+// The platform limits the calls of all hosts together. Two hosts may read at
+// the same time while the leader changes; together they must stay within the
+// limit.
 Test(list_reader, calls_when_counted_stay_below_the_allowed_rate)
 {
     list_reader_settings settings;
@@ -75,8 +76,8 @@
     cr_expect_geq(calls, 15U);
 }
 
-// A page fails in the middle: half a list would take the upstreams of the
-// other half out of use.
+// A page in the middle of the list fails. Half a list would take the upstreams
+// of the other half out of use.
 Test(list_reader, failed_page_when_retried_starts_from_the_first)
 {
     list_reader reader({});
@@ -95,8 +96,8 @@
     cr_expect_eq(upstreams->size(), 1U);
 }
 
-// A call gets no answer at all; its answer comes after the next call was
-// made, and belongs to no reading any more.
+// A call times out, and its answer arrives after the next call was made. The
+// late answer must be ignored, since its reading has been restarted.
 Test(list_reader, late_answer_of_a_call_given_up_is_not_taken)
 {
     list_reader reader({});
@@ -122,9 +123,10 @@
     cr_expect_not(reader.next_call(start + 10s).has_value());
 }
 
-// An upstream that leaves gets requests for seconds. The list has 16 pages
-// and each answer takes 70 ms: a pause after each answer, instead of from
-// call to call, makes a reading twice as long.
+// Guards against a leaving upstream that gets requests for seconds. The list
+// has 16 pages and each answer takes 70 ms. If the interval were counted from
+// the answer instead of from the previous call, a reading would take twice as
+// long.
 Test(list_reader, answers_that_take_long_do_not_add_to_the_pause)
 {
     list_reader_settings settings;
@@ -144,10 +146,10 @@
     cr_expect_eq(*reader.last_read() - start, 16 * 70ms);
 }
 
-// An upstream leaves. The list has 36 pages in nine zones, each answer takes
-// 70 ms and names the next page. Read one after the other, the last page comes
-// after 2.5 s, and callers' requests reach the upstream for longer than they
-// may; read by zone, the pages come as fast as the list takes calls.
+// Guards against a leaving upstream that gets requests for too long. The list
+// has 36 pages in nine zones, and each answer takes 70 ms and identifies the
+// next page. Read in sequence, the last page arrives after 2.5 s, which is too
+// late. Read by zone, the pages arrive as fast as the rate limit allows.
 Test(list_reader, long_list_when_read_by_zone_takes_as_long_as_its_calls)
 {
     constexpr int pages_a_zone = 4;
@@ -188,8 +190,8 @@
     cr_expect_eq(pages.size(), 9U);
 }
 
-// A zone's page fails: the other zones' pages stand, and half a list takes no
-// upstream out of use.
+// A page of one zone fails. The pages of the other zones must be kept, and half
+// a list must not take any upstream out of use.
 Test(list_reader, failed_page_of_a_zone_starts_only_that_zone_again)
 {
     list_reader_settings settings;
@@ -215,8 +217,8 @@
     cr_expect_eq(upstreams->size(), 2U);
 }
 
-// The list has upstreams in a zone that this host was not told of. Read by
-// zone they would be missing, and their callers refused.
+// The list has upstreams in a zone that is not in the settings. If it were read
+// by zone, they would be missing and their callers would be refused.
 Test(list_reader, list_with_unknown_zones_is_read_as_a_whole)
 {
     list_reader_settings settings;
@@ -237,8 +239,8 @@
 namespace
 {
 
-/// A list of many pages whose answers take a while, and a reader of it that
-/// was told of its zones but for those that are added later.
+/// A list of many pages whose answers take `answer_time`, and a reader of it
+/// whose settings contain its zones except for one that is added later.
 class long_list
 {
 public:
@@ -328,8 +330,8 @@
 
 } // namespace
 
-// Guards against a survey of all zones that holds up the readings by zone: an
-// upstream that leaves would be found after more than three seconds.
+// Guards against a full scan that delays the readings by zone: a leaving
+// upstream would be found only after more than three seconds.
 Test(list_reader, survey_of_all_zones_holds_no_reading_up)
 {
     long_list list;
@@ -339,8 +341,8 @@
                   long_list::zones * long_list::pages_a_zone);
 }
 
-// Guards against a list that takes so few calls that the readings leave no
-// time for the survey, and against surveys that are made all the time.
+// Guards against a rate limit so low that the readings leave no calls for the
+// full scan, and against full scans that run all the time.
 Test(list_reader, survey_comes_once_in_so_many_readings)
 {
     list_reader_settings settings;
@@ -373,8 +375,9 @@
     cr_expect_eq(full_scans, 3U);
 }
 
-// An upstream is in a zone that this host was not told of. Read by zone it
-// would be missing for good, and its callers refused.
+// An upstream is in a zone that is not in the settings. If the list were only
+// read by zone, it would be missing permanently and its callers would be
+// refused.
 Test(list_reader, survey_that_finds_a_new_zone_has_the_list_read_as_a_whole)
 {
     long_list list;
@@ -383,7 +386,7 @@
     list.full_scan_pages = 0;
     list.has_new_zone = true;
     list.run_for(60s);
-    // Two surveys' time; from then on every reading is a whole one.
+    // Time for two full scans; after these the list is no longer read by zone.
     int const pages_before = list.full_scan_pages;
     list.run_for(10s);
     cr_expect_geq(list.full_scan_pages - pages_before, 36);
--- a/tests/unit/discovery/upstream_listing_test.cpp
+++ b/tests/unit/discovery/upstream_listing_test.cpp
@@ -55,8 +55,8 @@
     cr_expect(changes->removed.front() == upstream_id("c"));
 }
 
-// A cold time runs down between two readings: that is no news, or every
-// reading would be told to every entry host.
+// The remaining cold time decreases between two readings. This must not count
+// as a change, or every reading would be sent to every entry host.
 Test(upstream_listing, cold_time_that_runs_down_is_no_news)
 {
     upstream_listing listing;
@@ -70,8 +70,8 @@
             .has_value());
 }
 
-// A leader is frozen while another one takes over and reads the list. When
-// it wakes it still hands out its own listing, of the older term.
+// A leader is frozen while another one takes over and reads the list. When it
+// resumes it still sends its own listing, of the older term.
 Test(upstream_listing, replaced_reader_when_it_wakes_is_not_believed)
 {
     upstream_listing old_reader;
@@ -89,8 +89,8 @@
     cr_expect(held.upstreams().contains(upstream_id("a")));
 }
 
-// A delta is lost with its link: the next one starts from a listing that
-// the receiver does not have, and must not be put on top of the old one.
+// A delta is lost because its link closes. The next one has a base that the
+// receiver does not hold, and must not be applied to the older listing.
 Test(upstream_listing, delta_with_another_base_asks_for_the_whole)
 {
     upstream_listing reader;
@@ -108,9 +108,9 @@
     cr_expect(held.position() == reader.position());
 }
 
-// A caller's request reaches an upstream seconds after that was listed as
-// leaving. Its page was read at once, the pages after it took long, and
-// nothing was told before the last one had come.
+// Guards against requests that reach an upstream seconds after it was listed
+// as leaving. Its page was read at once, but the later pages took long, and no
+// changes were sent before the last page had arrived.
 Test(upstream_listing, leaving_upstream_is_told_before_the_whole_list_is_read)
 {
     upstream_listing listing;
@@ -130,7 +130,7 @@
     cr_expect_not(
         listing.apply_reading({entry("a", true), entry("b")}, 3, start)
             .has_value(),
-        "told once");
+        "already sent");
 }
 
 Test(upstream_listing, part_of_a_list_adds_nothing_but_leaving)
@@ -142,8 +142,8 @@
             .has_value());
 }
 
-// A new leader has read no whole list in its term: its followers may hold
-// another one.
+// A new leader has not completed a reading in its term, so its followers may
+// hold another listing.
 Test(upstream_listing, part_of_a_list_counts_for_nothing_in_a_new_term)
 {
     upstream_listing listing;
