--- a/bilberrylead/control/control_reducer_group.cpp
+++ b/bilberrylead/control/control_reducer_group.cpp
@@ -73,11 +73,11 @@
     {
         return {host, this->settings.zone, this->settings.region};
     }
-    auto const known = this->places.find(host);
-    return known == this->places.end()
+    auto const found = this->places.find(host);
+    return found == this->places.end()
                ? link::group_host{host, {}, {}}
-               : link::group_host{host, known->second.zone,
-                                  known->second.region};
+               : link::group_host{host, found->second.zone,
+                                  found->second.region};
 }
 
 void control_reducer::send_group_update()
@@ -123,11 +123,11 @@
     std::vector<membership::planned_host> hosts;
     auto const with_location = [this](membership::planned_host host)
     {
-        auto const known = this->places.find(host.host);
-        if (known != this->places.end())
+        auto const found = this->places.find(host.host);
+        if (found != this->places.end())
         {
-            host.zone = known->second.zone;
-            host.region = known->second.region;
+            host.zone = found->second.zone;
+            host.region = found->second.region;
         }
         return host;
     };
@@ -210,9 +210,9 @@
         this->listing.upstreams();
     bool const only_known_zones = std::all_of(
         held.begin(), held.end(),
-        [this](auto const& known)
+        [this](auto const& entry)
         {
-            return this->reader->has_zone(known.second.upstream.zone);
+            return this->reader->has_zone(entry.second.upstream.zone);
         });
     this->reader->expect(held.size(), only_known_zones);
 }
--- a/bilberrylead/discovery/upstream_listing.cpp
+++ b/bilberrylead/discovery/upstream_listing.cpp
@@ -46,8 +46,9 @@
     }
     for (auto const& [id, entry] : next)
     {
-        auto const known = this->entries.find(id);
-        if (known == this->entries.end() || differs(known->second, entry, now))
+        auto const existing = this->entries.find(id);
+        if (existing == this->entries.end() ||
+            differs(existing->second, entry, now))
         {
             changes.put.push_back(to_reported(entry, now));
         }
@@ -80,11 +81,11 @@
     list_changes changes;
     for (listed_upstream const& each : part)
     {
-        auto const known = this->entries.find(each.upstream.id);
-        if (each.upstream.leaving && known != this->entries.end() &&
-            !known->second.upstream.leaving)
+        auto const existing = this->entries.find(each.upstream.id);
+        if (each.upstream.leaving && existing != this->entries.end() &&
+            !existing->second.upstream.leaving)
         {
-            known->second = each;
+            existing->second = each;
             changes.put.push_back(to_reported(each, now));
         }
     }
--- a/bilberrylead/presence/control_link_plan.cpp
+++ b/bilberrylead/presence/control_link_plan.cpp
@@ -20,9 +20,9 @@
 {
     // Hosts reported by closed links are dropped once an open link reports.
     std::erase_if(this->hosts_by_link,
-                  [this](auto const& known)
+                  [this](auto const& entry)
                   {
-                      return !this->leader_by_link.contains(known.first);
+                      return !this->leader_by_link.contains(entry.first);
                   });
     this->leader_by_link.try_emplace(link);
     this->hosts_by_link[link] = reported_hosts;
@@ -71,10 +71,10 @@
     {
         for (link::group_host const& host : reported_hosts)
         {
-            link::group_host& known = by_id[host.id];
-            if (known.region.empty())
+            link::group_host& merged = by_id[host.id];
+            if (merged.region.empty())
             {
-                known = host;
+                merged = host;
             }
         }
     }
@@ -90,13 +90,13 @@
 std::set<host_id> control_link_plan::desired_links(instant now) const
 {
     control_link_settings bounds = this->settings;
-    std::vector<link::group_host> const known = this->all_hosts();
+    std::vector<link::group_host> const hosts = this->all_hosts();
     if (this->is_searching(now))
     {
-        bounds.max_fully_linked_hosts = known.size();
+        bounds.max_fully_linked_hosts = hosts.size();
     }
     return choose_control_links(
-        known, {this->self, this->region, this->leaders()}, bounds);
+        hosts, {this->self, this->region, this->leaders()}, bounds);
 }
 
 } // namespace bilberrylead::presence
--- a/tests/unit/discovery/list_reader_test.cpp
+++ b/tests/unit/discovery/list_reader_test.cpp
@@ -299,22 +299,22 @@
         bool const of_all = call.zone.empty();
         int const number = call.page.empty() ? 1 : std::stoi(call.page);
         int const last = of_all ? zones * pages_a_zone : pages_a_zone;
-        list_page told =
+        list_page answer_page =
             page("u", number < last ? std::to_string(number + 1) : "");
         for (int count = 1; count < 50; ++count)
         {
-            told.upstreams.push_back(told.upstreams.front());
+            answer_page.upstreams.push_back(answer_page.upstreams.front());
         }
-        for (discovery::reported_upstream& each : told.upstreams)
+        for (discovery::reported_upstream& each : answer_page.upstreams)
         {
             each.upstream.zone = of_all ? zone_id("z0") : call.zone;
         }
         if (of_all && number == last && this->has_new_zone)
         {
-            told.upstreams.back().upstream.zone = zone_id("new");
+            answer_page.upstreams.back().upstream.zone = zone_id("new");
         }
         auto const upstreams =
-            this->reader.page_received(call.number, told, this->now);
+            this->reader.page_received(call.number, answer_page, this->now);
         if (upstreams.has_value())
         {
             this->longest_reading =
