--- a/bilberrylead/membership/member_planner.cpp
+++ b/bilberrylead/membership/member_planner.cpp
@@ -13,32 +13,35 @@
 using agreement::membership_action;
 using agreement::membership_change_requested;
 
-/// How many voters share a place; hosts that have not said where they stand
-/// share none.
-struct crowding
+/// Number of voters in the same region and zone as a host. Hosts that have not
+/// reported their location share it with none.
+struct colocated_voters
 {
     std::size_t in_region = 0;
     std::size_t in_zone = 0;
 
-    friend auto operator<=>(crowding const&, crowding const&) = default;
+    friend auto operator<=>(colocated_voters const&,
+                            colocated_voters const&) = default;
 };
 
-bool answers(planned_host const& host, member_planner_settings const& settings)
+bool is_responsive(planned_host const& host,
+                   member_planner_settings const& settings)
 {
     return host.leader ||
-           (host.linked && host.silent_for < settings.replace_after);
+           (host.linked && host.unresponsive_for < settings.replace_after);
 }
 
-/// Voters that answer, beside one host and in its places.
-crowding crowding_of(planned_host const& host,
-                     std::vector<planned_host> const& hosts,
-                     member_planner_settings const& settings)
+/// Counts the responsive voters, except the host itself, that are in its
+/// region and zone.
+colocated_voters colocated_voters_of(planned_host const& host,
+                                     std::vector<planned_host> const& hosts,
+                                     member_planner_settings const& settings)
 {
-    crowding found;
+    colocated_voters found;
     for (planned_host const& other : hosts)
     {
-        bool const counts =
-            other.voter && other.host != host.host && answers(other, settings);
+        bool const counts = other.voter && other.host != host.host &&
+                            is_responsive(other, settings);
         if (counts && !host.region.empty() && other.region == host.region)
         {
             ++found.in_region;
@@ -61,47 +64,51 @@
     return wanted;
 }
 
-/// The host without a vote that is best placed for one.
+/// The learner that shares its region and zone with the fewest voters; null if
+/// none can become a voter.
 planned_host const* best_learner(std::vector<planned_host> const& hosts,
                                  member_planner_settings const& settings)
 {
     planned_host const* best = nullptr;
-    crowding least;
+    colocated_voters fewest;
     for (planned_host const& host : hosts)
     {
         bool const fit = host.member && !host.voter && host.caught_up &&
-                         !host.becomes_voter && answers(host, settings);
+                         !host.becomes_voter && is_responsive(host, settings);
         if (!fit)
         {
             continue;
         }
-        crowding const around = crowding_of(host, hosts, settings);
-        if (best == nullptr || around < least)
+        colocated_voters const colocated =
+            colocated_voters_of(host, hosts, settings);
+        if (best == nullptr || colocated < fewest)
         {
             best = &host;
-            least = around;
+            fewest = colocated;
         }
     }
     return best;
 }
 
-/// The voter that the group misses least: silent ones first, the longest
-/// silent of them; then the one in the most crowded place.
+/// The voter that the group needs least: first the one that has been
+/// unresponsive longest, then the one that shares its region and zone with the
+/// most voters. Never the leader.
 planned_host const* least_needed_voter(std::vector<planned_host> const& hosts,
                                        member_planner_settings const& settings)
 {
     planned_host const* worst = nullptr;
-    std::tuple<duration, crowding> most;
+    std::tuple<duration, colocated_voters> most;
     for (planned_host const& host : hosts)
     {
         if (!host.voter || host.leader)
         {
             continue;
         }
-        duration const silence =
-            answers(host, settings) ? duration::zero() : host.silent_for;
-        std::tuple<duration, crowding> const weight{
-            silence, crowding_of(host, hosts, settings)};
+        duration const unresponsive_time = is_responsive(host, settings)
+                                               ? duration::zero()
+                                               : host.unresponsive_for;
+        std::tuple<duration, colocated_voters> const weight{
+            unresponsive_time, colocated_voters_of(host, hosts, settings)};
         if (worst == nullptr || weight > most)
         {
             worst = &host;
@@ -111,28 +118,31 @@
     return worst;
 }
 
-/// True if the voters stand further apart with this host in the place of
-/// the most crowded one: after a region was away, the others hold its votes.
-bool spreads_better(planned_host const& joining,
-                    std::vector<planned_host> const& hosts,
-                    member_planner_settings const& settings)
+/// True if the voters are spread better with this host in place of the least
+/// needed voter. This is the case after a region was unreachable and its votes
+/// were given to hosts in other regions.
+bool improves_spread(planned_host const& joining,
+                     std::vector<planned_host> const& hosts,
+                     member_planner_settings const& settings)
 {
     planned_host const* const leaving = least_needed_voter(hosts, settings);
-    return leaving != nullptr && crowding_of(joining, hosts, settings) <
-                                     crowding_of(*leaving, hosts, settings);
+    return leaving != nullptr &&
+           colocated_voters_of(joining, hosts, settings) <
+               colocated_voters_of(*leaving, hosts, settings);
 }
 
-/// A member without a vote that does not answer any more is not sent to for
-/// ever; one that should have become a voter makes room for another.
+/// Removes a member without a vote that no longer responds, so that entries
+/// are not sent to it forever. One that was to become a voter is removed
+/// earlier, so that another host can take its place.
 std::optional<membership_change_requested>
-forget_silent(std::vector<planned_host> const& hosts,
-              member_planner_settings const& settings)
+remove_unresponsive(std::vector<planned_host> const& hosts,
+                    member_planner_settings const& settings)
 {
     for (planned_host const& host : hosts)
     {
         duration const longest =
-            host.becomes_voter ? settings.replace_after : settings.forget_after;
-        if (host.member && !host.voter && host.silent_for >= longest)
+            host.becomes_voter ? settings.replace_after : settings.remove_after;
+        if (host.member && !host.voter && host.unresponsive_for >= longest)
         {
             return change(membership_action::remove, host);
         }
@@ -152,25 +162,27 @@
 
 } // namespace
 
-std::size_t wanted_voters(std::vector<planned_host> const& hosts,
-                          member_planner_settings const& settings)
+std::size_t target_voter_count(std::vector<planned_host> const& hosts,
+                               member_planner_settings const& settings)
 {
     std::size_t const losses = std::max({std::size_t{settings.losses.hosts},
                                          std::size_t{settings.losses.zones},
                                          std::size_t{settings.losses.regions}});
-    std::size_t const wanted = std::min(2 * losses + 1, settings.most_voters);
-    std::size_t const alive = static_cast<std::size_t>(
+    std::size_t const wanted = std::min(2 * losses + 1, settings.max_voters);
+    std::size_t const responsive = static_cast<std::size_t>(
         std::count_if(hosts.begin(), hosts.end(),
                       [&settings](planned_host const& host)
                       {
-                          return answers(host, settings);
+                          return is_responsive(host, settings);
                       }));
 
-    // Fewer hosts than wanted: an even number survives no more losses than
-    // one less. Never fewer voters than there are, though: those that are
-    // silent may come back with what only they hold.
+    // With fewer hosts than wanted, an odd number of voters is used: an even
+    // number survives no more losses than one voter less. The number of
+    // voters is never reduced for that, since unresponsive ones may return
+    // with entries that only they hold.
     std::size_t const odd =
-        alive % 2 == 0 ? alive - std::min<std::size_t>(alive, 1) : alive;
+        responsive % 2 == 0 ? responsive - std::min<std::size_t>(responsive, 1)
+                            : responsive;
     return std::max(std::min(wanted, odd),
                     std::min(wanted, count_voters(hosts)));
 }
@@ -179,7 +191,7 @@
 next_change(std::vector<planned_host> const& hosts,
             member_planner_settings const& settings)
 {
-    // Whoever is there takes part, as a learner first.
+    // Every linked host becomes a member, as a learner first.
     for (planned_host const& host : hosts)
     {
         if (!host.member && host.linked)
@@ -189,12 +201,12 @@
     }
 
     std::size_t const voters = count_voters(hosts);
-    std::size_t const wanted = wanted_voters(hosts, settings);
-    bool const has_silent_voter =
+    std::size_t const wanted = target_voter_count(hosts, settings);
+    bool const has_unresponsive_voter =
         std::any_of(hosts.begin(), hosts.end(),
                     [&settings](planned_host const& host)
                     {
-                        return host.voter && !answers(host, settings);
+                        return host.voter && !is_responsive(host, settings);
                     });
     if (voters > wanted)
     {
@@ -204,16 +216,16 @@
                    : std::optional(change(membership_action::remove, *leaving));
     }
     planned_host const* const joining = best_learner(hosts, settings);
-    if (joining != nullptr && (voters < wanted || has_silent_voter))
+    if (joining != nullptr && (voters < wanted || has_unresponsive_voter))
     {
         return change(membership_action::add_voter, *joining);
     }
-    if (joining != nullptr && voters == wanted && !has_silent_voter &&
-        spreads_better(*joining, hosts, settings))
+    if (joining != nullptr && voters == wanted && !has_unresponsive_voter &&
+        improves_spread(*joining, hosts, settings))
     {
         return change(membership_action::add_voter, *joining);
     }
-    return forget_silent(hosts, settings);
+    return remove_unresponsive(hosts, settings);
 }
 
 } // namespace bilberrylead::membership
--- a/tests/unit/discovery/upstream_listing_test.cpp
+++ b/tests/unit/discovery/upstream_listing_test.cpp
@@ -8,9 +8,9 @@
 
 using namespace bilberrylead;
 using namespace std::chrono_literals;
+using discovery::apply_result;
 using discovery::list_changes;
 using discovery::listed_upstream;
-using discovery::take_result;
 using discovery::upstream_listing;
 
 namespace
@@ -36,8 +36,9 @@
 Test(upstream_listing, second_reading_without_news_tells_nobody)
 {
     upstream_listing listing;
-    cr_assert(listing.read({entry("a")}, 3, start).has_value());
-    cr_expect_not(listing.read({entry("a")}, 3, start + 1s).has_value());
+    cr_assert(listing.apply_reading({entry("a")}, 3, start).has_value());
+    cr_expect_not(
+        listing.apply_reading({entry("a")}, 3, start + 1s).has_value());
     discovery::list_position const first{3, 1};
     cr_expect(listing.position() == first);
 }
@@ -45,101 +46,108 @@
 Test(upstream_listing, only_what_differs_is_told)
 {
     upstream_listing listing;
-    listing.read({entry("a"), entry("b"), entry("c")}, 3, start);
-    std::optional<list_changes> const changes =
-        listing.read({entry("a"), entry("b", true), entry("d")}, 3, start);
+    listing.apply_reading({entry("a"), entry("b"), entry("c")}, 3, start);
+    std::optional<list_changes> const changes = listing.apply_reading(
+        {entry("a"), entry("b", true), entry("d")}, 3, start);
     cr_assert(changes.has_value());
     cr_expect_eq(changes->put.size(), 2U);
     cr_assert_eq(changes->removed.size(), 1U);
     cr_expect(changes->removed.front() == upstream_id("c"));
 }
 
-// A cold time runs down between two readings: that is no news, or every
-// reading would be told to every entry host.
+// The remaining cold time decreases between two readings. This must not count
+// as a change, or every reading would be sent to every entry host.
 Test(upstream_listing, cold_time_that_runs_down_is_no_news)
 {
     upstream_listing listing;
-    listing.read({entry("a", false, start + 3s)}, 3, start);
-    cr_expect_not(
-        listing.read({entry("a", false, start + 3s + 100ms)}, 3, start + 1s)
+    listing.apply_reading({entry("a", false, start + 3s)}, 3, start);
+    cr_expect_not(listing
+                      .apply_reading({entry("a", false, start + 3s + 100ms)}, 3,
+                                     start + 1s)
+                      .has_value());
+    cr_expect(
+        listing.apply_reading({entry("a", false, start + 9s)}, 3, start + 2s)
             .has_value());
-    cr_expect(listing.read({entry("a", false, start + 9s)}, 3, start + 2s)
-                  .has_value());
 }
 
-// A leader is frozen while another one takes over and reads the list. When
-// it wakes it still hands out its own listing, of the older term.
+// A leader is frozen while another one takes over and reads the list. When it
+// resumes it still sends its own listing, of the older term.
 Test(upstream_listing, replaced_reader_when_it_wakes_is_not_believed)
 {
     upstream_listing old_reader;
-    list_changes const old_news = *old_reader.read({entry("gone")}, 3, start);
+    list_changes const old_changes =
+        *old_reader.apply_reading({entry("gone")}, 3, start);
     upstream_listing new_reader;
-    list_changes const news = *new_reader.read({entry("a")}, 4, start);
+    list_changes const changes =
+        *new_reader.apply_reading({entry("a")}, 4, start);
 
     upstream_listing held;
-    cr_assert(held.take(news, start) == take_result::taken);
-    cr_expect(held.take(old_news, start) == take_result::not_newer);
-    cr_expect(held.take(old_reader.whole(start), start) ==
-              take_result::not_newer);
+    cr_assert(held.apply(changes, start) == apply_result::applied);
+    cr_expect(held.apply(old_changes, start) == apply_result::not_newer);
+    cr_expect(held.apply(old_reader.full_listing(start), start) ==
+              apply_result::not_newer);
     cr_expect(held.upstreams().contains(upstream_id("a")));
 }
 
-// A delta is lost with its link: the next one starts from a listing that
-// the receiver does not have, and must not be put on top of the old one.
+// A delta is lost because its link closes. The next one has a base that the
+// receiver does not hold, and must not be applied to the older listing.
 Test(upstream_listing, delta_with_another_base_asks_for_the_whole)
 {
     upstream_listing reader;
     upstream_listing held;
-    cr_assert(held.take(*reader.read({entry("a")}, 3, start), start) ==
-              take_result::taken);
-    reader.read({entry("a"), entry("b")}, 3, start);
+    cr_assert(held.apply(*reader.apply_reading({entry("a")}, 3, start),
+                         start) == apply_result::applied);
+    reader.apply_reading({entry("a"), entry("b")}, 3, start);
     list_changes const third =
-        *reader.read({entry("a"), entry("b"), entry("c")}, 3, start);
-    cr_expect(held.take(third, start) == take_result::other_base);
+        *reader.apply_reading({entry("a"), entry("b"), entry("c")}, 3, start);
+    cr_expect(held.apply(third, start) == apply_result::base_mismatch);
     cr_expect_eq(held.upstreams().size(), 1U);
-    cr_expect(held.take(reader.whole(start), start) == take_result::taken);
+    cr_expect(held.apply(reader.full_listing(start), start) ==
+              apply_result::applied);
     cr_expect_eq(held.upstreams().size(), 3U);
     cr_expect(held.position() == reader.position());
 }
 
-// A caller's request reaches an upstream seconds after that was listed as
-// leaving. Its page was read at once, the pages after it took long, and
-// nothing was told before the last one had come.
+// Guards against requests that reach an upstream seconds after it was listed
+// as leaving. Its page was read at once, but the later pages took long, and no
+// changes were sent before the last page had arrived.
 Test(upstream_listing, leaving_upstream_is_told_before_the_whole_list_is_read)
 {
     upstream_listing listing;
-    listing.read({entry("a"), entry("b")}, 3, start);
+    listing.apply_reading({entry("a"), entry("b")}, 3, start);
     upstream_listing follower;
-    follower.take(listing.whole(start), start);
+    follower.apply(listing.full_listing(start), start);
     std::optional<list_changes> const early =
-        listing.read_leaving({entry("a", true)}, 3, start);
+        listing.apply_leaving({entry("a", true)}, 3, start);
     cr_assert(early.has_value());
     cr_expect_eq(early->put.size(), 1U);
     cr_expect(early->removed.empty(), "the rest was not read yet");
-    cr_expect(follower.take(*early, start) == take_result::taken);
+    cr_expect(follower.apply(*early, start) == apply_result::applied);
     cr_expect(follower.upstreams().at(upstream_id("a")).upstream.leaving);
     cr_expect_eq(follower.upstreams().size(), 2U);
     cr_expect_not(
-        listing.read_leaving({entry("a", true)}, 3, start).has_value());
+        listing.apply_leaving({entry("a", true)}, 3, start).has_value());
     cr_expect_not(
-        listing.read({entry("a", true), entry("b")}, 3, start).has_value(),
-        "told once");
+        listing.apply_reading({entry("a", true), entry("b")}, 3, start)
+            .has_value(),
+        "already sent");
 }
 
 Test(upstream_listing, part_of_a_list_adds_nothing_but_leaving)
 {
     upstream_listing listing;
-    listing.read({entry("a")}, 3, start);
-    cr_expect_not(listing.read_leaving({entry("a"), entry("b", true)}, 3, start)
-                      .has_value());
+    listing.apply_reading({entry("a")}, 3, start);
+    cr_expect_not(
+        listing.apply_leaving({entry("a"), entry("b", true)}, 3, start)
+            .has_value());
 }
 
-// A new leader has read no whole list in its term: its followers may hold
-// another one.
+// A new leader has not completed a reading in its term, so its followers may
+// hold another listing.
 Test(upstream_listing, part_of_a_list_counts_for_nothing_in_a_new_term)
 {
     upstream_listing listing;
-    listing.read({entry("a")}, 3, start);
+    listing.apply_reading({entry("a")}, 3, start);
     cr_expect_not(
-        listing.read_leaving({entry("a", true)}, 4, start).has_value());
+        listing.apply_leaving({entry("a", true)}, 4, start).has_value());
 }
