--- a/bilberrylead/core/cbor.cpp
+++ b/bilberrylead/core/cbor.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-constexpr std::size_t deepest_nesting = 16;
+constexpr std::size_t max_nesting = 16;
 constexpr unsigned major_byte_string = 2;
 constexpr unsigned major_text_string = 3;
 constexpr unsigned major_array = 4;
@@ -39,15 +39,15 @@
     head.major = input[0] >> 5U;
     head.length = 1;
     unsigned const additional = input[0] & 0x1FU;
-    constexpr unsigned largest_inline = 23;
-    constexpr unsigned largest_sized = 27;
-    if (additional <= largest_inline)
+    constexpr unsigned max_inline_argument = 23;
+    constexpr unsigned max_sized_argument = 27;
+    if (additional <= max_inline_argument)
     {
         head.argument = additional;
         return head;
     }
     // 28 to 31 are reserved or stand for an indefinite length.
-    if (additional > largest_sized)
+    if (additional > max_sized_argument)
     {
         return std::nullopt;
     }
@@ -64,7 +64,7 @@
     return head;
 }
 
-absl::Status unreadable()
+absl::Status malformed_input()
 {
     return make_error(error_kind::syntax,
                       "The bytes are not CBOR as this system writes it.",
@@ -74,26 +74,26 @@
 /// Items left to read on each level of nesting that is open.
 struct open_levels
 {
-    std::array<std::uint64_t, deepest_nesting + 1> left{};
+    std::array<std::uint64_t, max_nesting + 1> remaining{};
     std::size_t depth = 0;
 
     bool open(std::uint64_t items)
     {
-        if (this->depth == deepest_nesting)
+        if (this->depth == max_nesting)
         {
             return false;
         }
-        this->left.at(++this->depth) = items;
+        this->remaining.at(++this->depth) = items;
         return true;
     }
 
     /// Counts one item as read and closes the levels it was the last of.
     void close_finished()
     {
-        while (this->depth > 0 && this->left.at(this->depth) == 0)
+        while (this->depth > 0 && this->remaining.at(this->depth) == 0)
         {
             --this->depth;
-            --this->left.at(this->depth);
+            --this->remaining.at(this->depth);
         }
     }
 };
@@ -105,43 +105,43 @@
 {
     std::size_t position = 0;
     open_levels levels;
-    levels.left.at(0) = 1;
-    while (levels.left.at(0) > 0)
+    levels.remaining.at(0) = 1;
+    while (levels.remaining.at(0) > 0)
     {
         std::optional<item_head> const head =
             read_head(input.subspan(position));
         if (!head.has_value() || head->major == major_tag)
         {
-            return unreadable();
+            return malformed_input();
         }
         position += head->length;
-        std::uint64_t const remaining = input.size() - position;
+        std::uint64_t const remaining_bytes = input.size() - position;
         bool const is_string = head->major == major_byte_string ||
                                head->major == major_text_string;
         bool const is_list =
             head->major == major_array || head->major == major_map;
         // Every counted item takes at least a byte, so a count above the
         // bytes that remain is a lie.
-        if ((is_string || is_list) && head->argument > remaining)
+        if ((is_string || is_list) && head->argument > remaining_bytes)
         {
-            return unreadable();
+            return malformed_input();
         }
         if (head->major == major_simple && head->length == 2)
         {
-            return unreadable();
+            return malformed_input();
         }
         if (is_list)
         {
             std::uint64_t const width = head->major == major_map ? 2 : 1;
             if (!levels.open(head->argument * width))
             {
-                return unreadable();
+                return malformed_input();
             }
         }
         else
         {
             position += is_string ? head->argument : 0;
-            --levels.left.at(levels.depth);
+            --levels.remaining.at(levels.depth);
         }
         levels.close_finished();
     }
@@ -157,7 +157,7 @@
     }
     if (*length != input.size())
     {
-        return unreadable();
+        return malformed_input();
     }
     try
     {
@@ -165,7 +165,7 @@
     }
     catch (nlohmann::json::exception const&)
     {
-        return unreadable();
+        return malformed_input();
     }
 }
 
--- a/bilberrylead/core/cbor_fields.cpp
+++ b/bilberrylead/core/cbor_fields.cpp
@@ -52,12 +52,12 @@
 
 nlohmann::json* cbor_fields::next()
 {
-    if (this->taken >= this->array->size())
+    if (this->read_count >= this->array->size())
     {
-        this->spoiled = true;
+        this->malformed = true;
         return nullptr;
     }
-    return &(*this->array)[this->taken++];
+    return &(*this->array)[this->read_count++];
 }
 
 std::uint64_t cbor_fields::take_unsigned()
@@ -65,7 +65,7 @@
     nlohmann::json* const field = this->next();
     if (field == nullptr || !field->is_number_unsigned())
     {
-        this->spoiled = true;
+        this->malformed = true;
         return 0;
     }
     return field->get<std::uint64_t>();
@@ -76,7 +76,7 @@
     std::uint64_t const number = this->take_unsigned();
     if (number > std::numeric_limits<std::uint16_t>::max())
     {
-        this->spoiled = true;
+        this->malformed = true;
         return 0;
     }
     return static_cast<std::uint16_t>(number);
@@ -87,7 +87,7 @@
     std::uint64_t const number = this->take_unsigned();
     if (number > std::numeric_limits<std::uint32_t>::max())
     {
-        this->spoiled = true;
+        this->malformed = true;
         return 0;
     }
     return static_cast<std::uint32_t>(number);
@@ -98,7 +98,7 @@
     nlohmann::json* const field = this->next();
     if (field == nullptr || !field->is_number_integer())
     {
-        this->spoiled = true;
+        this->malformed = true;
         return 0;
     }
     return field->get<std::int64_t>();
@@ -109,24 +109,24 @@
     nlohmann::json* const field = this->next();
     if (field == nullptr || !field->is_boolean())
     {
-        this->spoiled = true;
+        this->malformed = true;
         return false;
     }
     return field->get<bool>();
 }
 
-std::string cbor_fields::take_text(std::size_t longest)
+std::string cbor_fields::take_text(std::size_t max_length)
 {
     nlohmann::json* const field = this->next();
     if (field == nullptr || !field->is_string())
     {
-        this->spoiled = true;
+        this->malformed = true;
         return {};
     }
     std::string& text = field->get_ref<std::string&>();
-    if (text.size() > longest)
+    if (text.size() > max_length)
     {
-        this->spoiled = true;
+        this->malformed = true;
         return {};
     }
     return std::move(text);
@@ -137,7 +137,7 @@
     nlohmann::json* const field = this->next();
     if (field == nullptr || !field->is_binary())
     {
-        this->spoiled = true;
+        this->malformed = true;
         return {};
     }
     bytes& content = field->get_binary();
@@ -146,7 +146,7 @@
 
 bool cbor_fields::complete() const
 {
-    return !this->spoiled && this->taken == this->array->size();
+    return !this->malformed && this->read_count == this->array->size();
 }
 
 } // namespace bilberrylead
--- a/bilberrylead/core/cbor_fields.hpp
+++ b/bilberrylead/core/cbor_fields.hpp
@@ -46,7 +46,7 @@
     /// The next field, true or false.
     bool take_bool();
     /// The next field, a text of at most `longest` bytes.
-    std::string take_text(std::size_t longest);
+    std::string take_text(std::size_t max_length);
     /// The next field, a byte string.
     bytes take_bytes();
 
@@ -54,7 +54,7 @@
     /// length stands in the record itself.
     bool intact() const
     {
-        return !this->spoiled;
+        return !this->malformed;
     }
 
     /// True if every field was taken and each had its type.
@@ -65,8 +65,8 @@
     nlohmann::json* next();
 
     std::unique_ptr<nlohmann::json> array;
-    std::size_t taken = 0;
-    bool spoiled = false;
+    std::size_t read_count = 0;
+    bool malformed = false;
 };
 
 } // namespace bilberrylead
--- /dev/null
+++ b/bilberrylead/core/compression.cpp
@@ -0,0 +1,72 @@
+#include "bilberrylead/core/compression.hpp"
+
+#include "bilberrylead/core/error.hpp"
+
+#include <zstd.h>
+
+#include <algorithm>
+#include <array>
+#include <cassert>
+#include <cstdint>
+
+namespace bilberrylead
+{
+
+namespace
+{
+
+/// The fastest level: it takes a few milliseconds for a megabyte, and what
+/// higher ones save is little beside what this one does.
+constexpr int compression_level = 1;
+/// First bytes of a frame (RFC 8878).
+constexpr std::array<std::uint8_t, 4> frame_magic{0x28, 0xb5, 0x2f, 0xfd};
+
+absl::Status invalid_frame(std::string_view why)
+{
+    return make_error(error_kind::bad_value, why,
+                      "Let both sides run the same version.");
+}
+
+} // namespace
+
+bytes compress(bytes const& content)
+{
+    bytes compressed(ZSTD_compressBound(content.size()));
+    std::size_t const size =
+        ZSTD_compress(compressed.data(), compressed.size(), content.data(),
+                      content.size(), compression_level);
+    // The bound leaves room for any content.
+    assert(ZSTD_isError(size) == 0);
+    compressed.resize(size);
+    return compressed;
+}
+
+bool is_compressed(bytes const& content)
+{
+    return content.size() >= frame_magic.size() &&
+           std::equal(frame_magic.begin(), frame_magic.end(), content.begin());
+}
+
+absl::StatusOr<bytes> decompress(bytes const& compressed, std::size_t max_size)
+{
+    unsigned long long const size =
+        ZSTD_getFrameContentSize(compressed.data(), compressed.size());
+    if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN)
+    {
+        return invalid_frame("Packed content has no readable head.");
+    }
+    if (size > max_size)
+    {
+        return invalid_frame("Packed content is too long.");
+    }
+    bytes content(static_cast<std::size_t>(size));
+    std::size_t const written = ZSTD_decompress(
+        content.data(), content.size(), compressed.data(), compressed.size());
+    if (ZSTD_isError(written) != 0 || written != content.size())
+    {
+        return invalid_frame("Packed content is damaged or cut.");
+    }
+    return content;
+}
+
+} // namespace bilberrylead
--- a/bilberrylead/core/error.cpp
+++ b/bilberrylead/core/error.cpp
@@ -71,12 +71,12 @@
     return row_of(kind).name;
 }
 
-absl::Status make_error(error_kind kind, std::string_view what,
+absl::Status make_error(error_kind kind, std::string_view problem,
                         std::string_view remedy)
 {
     absl::Status status(
         row_of(kind).code,
-        fmt::format("{}: {} {}", to_string(kind), what, remedy));
+        fmt::format("{}: {} {}", to_string(kind), problem, remedy));
     status.SetPayload(kind_payload_url, absl::Cord(to_absl(to_string(kind))));
     return status;
 }
--- a/bilberrylead/core/error.hpp
+++ b/bilberrylead/core/error.hpp
@@ -49,7 +49,7 @@
 
 /// Makes an error. `what` says what is wrong and where, `remedy` what the
 /// reader can do about it; both are whole short sentences.
-absl::Status make_error(error_kind kind, std::string_view what,
+absl::Status make_error(error_kind kind, std::string_view problem,
                         std::string_view remedy);
 
 /// The kind of an error made by make_error, or nothing for another's.
--- a/bilberrylead/core/log.cpp
+++ b/bilberrylead/core/log.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-std::atomic<log_level> lowest_level{log_level::info};
+std::atomic<log_level> min_level{log_level::info};
 
 std::mutex& output_mutex()
 {
@@ -34,17 +34,17 @@
 
 } // namespace
 
-void set_log_level(log_level lowest)
+void set_log_level(log_level level)
 {
-    lowest_level = lowest;
+    min_level = level;
 }
 
 bool log_enabled(log_level level)
 {
-    return level >= lowest_level.load(std::memory_order_relaxed);
+    return level >= min_level.load(std::memory_order_relaxed);
 }
 
-void never_wait_for_log_reader()
+void make_log_non_blocking()
 {
     std::lock_guard<std::mutex> const lock(output_mutex());
     output().make_non_blocking();
--- a/bilberrylead/core/log.hpp
+++ b/bilberrylead/core/log.hpp
@@ -25,12 +25,12 @@
 
 /// Sets the lowest level that is written. Call once, before any thread
 /// starts; the default is info.
-void set_log_level(log_level lowest);
+void set_log_level(log_level level);
 
 /// From now on a reader of standard output that stands still does not stop
 /// this process: lines that it does not take are dropped and counted. For
 /// daemons, at their start.
-void never_wait_for_log_reader();
+void make_log_non_blocking();
 
 /// Writes one line, a whole JSON object, to standard output. Safe from every
 /// thread; a line is written whole or not at all.
--- a/bilberrylead/core/log_line.cpp
+++ b/bilberrylead/core/log_line.cpp
@@ -17,35 +17,35 @@
 void append_escaped(std::string& output, std::string_view value)
 {
     constexpr unsigned char first_printable = 0x20;
-    constexpr unsigned char first_beyond = 0x7f;
-    for (char const each : value)
+    constexpr unsigned char first_non_printable = 0x7f;
+    for (char const character : value)
     {
-        unsigned char const code = static_cast<unsigned char>(each);
-        if (each == '"' || each == '\\')
+        unsigned char const code = static_cast<unsigned char>(character);
+        if (character == '"' || character == '\\')
         {
             output.push_back('\\');
-            output.push_back(each);
+            output.push_back(character);
         }
-        else if (code < first_printable || code >= first_beyond)
+        else if (code < first_printable || code >= first_non_printable)
         {
             fmt::format_to(std::back_inserter(output), "\\u{:04x}", code);
         }
         else
         {
-            output.push_back(each);
+            output.push_back(character);
         }
     }
 }
 
 } // namespace
 
-log_line::log_line(std::string_view part, std::string_view what)
+log_line::log_line(std::string_view part, std::string_view event)
 {
     this->content =
         fmt::format(R"({{"at":"{:%Y-%m-%dT%H:%M:%S}Z","part":"{}","what":"{}")",
                     std::chrono::floor<std::chrono::milliseconds>(
                         std::chrono::system_clock::now()),
-                    part, what);
+                    part, event);
 }
 
 void log_line::name(std::string_view name)
--- a/bilberrylead/core/log_line.hpp
+++ b/bilberrylead/core/log_line.hpp
@@ -16,7 +16,7 @@
 {
 public:
     /// Starts the line of a part; `what` says what it tells of.
-    log_line(std::string_view part, std::string_view what);
+    log_line(std::string_view part, std::string_view event);
 
     /// Adds a text; any bytes may be in it.
     log_line& text(std::string_view name, std::string_view value);
--- a/bilberrylead/core/log_sink.cpp
+++ b/bilberrylead/core/log_sink.cpp
@@ -22,37 +22,37 @@
 
 void log_sink::write(std::string_view line)
 {
-    if (this->kept.size() + line.size() + 1 > most_kept)
+    if (this->buffer.size() + line.size() + 1 > max_buffered_bytes)
     {
         this->flush();
     }
-    if (this->kept.size() + line.size() + 1 > most_kept)
+    if (this->buffer.size() + line.size() + 1 > max_buffered_bytes)
     {
-        ++this->dropped_in_all;
-        ++this->dropped_untold;
+        ++this->dropped_total;
+        ++this->dropped_unreported;
         return;
     }
-    if (this->dropped_untold > 0)
+    if (this->dropped_unreported > 0)
     {
-        this->kept += fmt::format(R"({{"part":"log","lines_dropped":{}}})"
-                                  "\n",
-                                  this->dropped_untold);
-        this->dropped_untold = 0;
+        this->buffer += fmt::format(R"({{"part":"log","lines_dropped":{}}})"
+                                    "\n",
+                                    this->dropped_unreported);
+        this->dropped_unreported = 0;
     }
-    this->kept.append(line);
-    this->kept.push_back('\n');
+    this->buffer.append(line);
+    this->buffer.push_back('\n');
     this->flush();
 }
 
 void log_sink::flush()
 {
-    while (!this->kept.empty())
+    while (!this->buffer.empty())
     {
         ssize_t const count =
-            ::write(this->descriptor, this->kept.data(), this->kept.size());
+            ::write(this->descriptor, this->buffer.data(), this->buffer.size());
         if (count > 0)
         {
-            this->kept.erase(0, static_cast<std::size_t>(count));
+            this->buffer.erase(0, static_cast<std::size_t>(count));
             continue;
         }
         if (count < 0 && errno == EINTR)
@@ -62,7 +62,7 @@
         if (count < 0 && errno != EAGAIN && errno != EWOULDBLOCK)
         {
             // Nobody will ever read it: the reader is gone.
-            this->kept.clear();
+            this->buffer.clear();
         }
         return;
     }
--- a/bilberrylead/core/log_sink.hpp
+++ b/bilberrylead/core/log_sink.hpp
@@ -33,17 +33,17 @@
     /// Lines dropped since the start.
     std::uint64_t dropped() const
     {
-        return this->dropped_in_all;
+        return this->dropped_total;
     }
 
 private:
     /// Bytes kept for a slow reader: about a thousand lines.
-    static constexpr std::size_t most_kept = std::size_t{256} << 10U;
+    static constexpr std::size_t max_buffered_bytes = std::size_t{256} << 10U;
 
     int descriptor;
-    std::string kept;
-    std::uint64_t dropped_in_all = 0;
-    std::uint64_t dropped_untold = 0;
+    std::string buffer;
+    std::uint64_t dropped_total = 0;
+    std::uint64_t dropped_unreported = 0;
 };
 
 } // namespace bilberrylead
--- a/bilberrylead/daemon/run_daemon.hpp
+++ b/bilberrylead/daemon/run_daemon.hpp
@@ -75,7 +75,7 @@
         return static_cast<int>(exit_code::good);
     }
     set_log_level(settings->lowest_log_level);
-    never_wait_for_log_reader();
+    make_log_non_blocking();
     Program program(
         *std::move(settings),
         settings_source<Settings>(arguments->settings_file, *text, parse),
--- a/bilberrylead/link/message.cpp
+++ b/bilberrylead/link/message.cpp
@@ -1,7 +1,7 @@
 #include "bilberrylead/link/message.hpp"
 
 #include "bilberrylead/core/cbor.hpp"
-#include "bilberrylead/core/packed_bytes.hpp"
+#include "bilberrylead/core/compression.hpp"
 #include "bilberrylead/link/message_reader.hpp"
 #include "bilberrylead/link/message_writer.hpp"
 
@@ -41,16 +41,17 @@
         std::holds_alternative<upstream_update>(content);
     if (is_long_text && output.size() >= least_packed)
     {
-        return pack(output);
+        return compress(output);
     }
     return output;
 }
 
 absl::StatusOr<message> decode(bytes const& encoded)
 {
-    if (is_packed(encoded))
+    if (is_compressed(encoded))
     {
-        absl::StatusOr<bytes> const content = unpack(encoded, longest_message);
+        absl::StatusOr<bytes> const content =
+            decompress(encoded, longest_message);
         return content.ok() ? decode_plain(*content) : content.status();
     }
     return decode_plain(encoded);
--- a/tests/unit/core/cbor_test.cpp
+++ b/tests/unit/core/cbor_test.cpp
@@ -38,7 +38,7 @@
     }
 }
 
-Test(cbor, written_items_when_measured_end_where_they_end)
+Test(cbor, encoded_items_when_measured_have_their_exact_length)
 {
     nlohmann::json const item = nlohmann::json::array(
         {1, -70'000, "text", true, nullptr, 2.5,
--- a/tests/unit/core/log_sink_test.cpp
+++ b/tests/unit/core/log_sink_test.cpp
@@ -44,7 +44,7 @@
 
 // The reader of the log stands still. The process must go on serving: lines
 // are dropped and counted, and once the reader is back it is told how many.
-Test(log_sink, reader_that_stands_still_does_not_stop_the_writer)
+Test(log_sink, stalled_reader_does_not_block_the_writer)
 {
     piped_log pipe;
     log_sink sink(pipe.ends[1]);
@@ -78,7 +78,7 @@
 }
 
 // Whoever collected the log is gone for good.
-Test(log_sink, closed_reader_costs_no_memory)
+Test(log_sink, closed_reader_leaves_no_buffered_lines)
 {
     std::array<int, 2> ends{};
     cr_assert_eq(::pipe(ends.data()), 0);
