--- a/bilberrylead/core/cbor.cpp
+++ b/bilberrylead/core/cbor.cpp
@@ -21,7 +21,8 @@
 constexpr unsigned major_tag = 6;
 constexpr unsigned major_simple = 7;
 
-/// The first byte of an item and the number that follows it.
+/// The head of an item (RFC 8949): major type, argument, and the length in
+/// bytes of both together.
 struct item_head
 {
     unsigned major = 0;
@@ -67,11 +68,12 @@
 absl::Status malformed_input()
 {
     return make_error(error_kind::syntax,
-                      "The bytes are not CBOR as this system writes it.",
-                      "Check that both sides run versions that work together.");
+                      "The input is not CBOR in the supported subset.",
+                      "Check that both sides run compatible versions.");
 }
 
-/// Items left to read on each level of nesting that is open.
+/// Number of items that remain to be read at each open level of nesting.
+/// Level 0 is the top level.
 struct open_levels
 {
     std::array<std::uint64_t, max_nesting + 1> remaining{};
@@ -87,7 +89,8 @@
         return true;
     }
 
-    /// Counts one item as read and closes the levels it was the last of.
+    /// Closes every level that has no items left. Each closed level counts
+    /// as one item read at the level above.
     void close_finished()
     {
         while (this->depth > 0 && this->remaining.at(this->depth) == 0)
@@ -120,8 +123,8 @@
                                head->major == major_text_string;
         bool const is_list =
             head->major == major_array || head->major == major_map;
-        // Every counted item takes at least a byte, so a count above the
-        // bytes that remain is a lie.
+        // Each element takes at least one byte, so an argument larger than
+        // the number of remaining bytes cannot be valid.
         if ((is_string || is_list) && head->argument > remaining_bytes)
         {
             return malformed_input();
--- a/bilberrylead/core/cbor.hpp
+++ b/bilberrylead/core/cbor.hpp
@@ -13,21 +13,22 @@
 namespace bilberrylead
 {
 
-/// Length in bytes of the CBOR item that `input` starts with. Refuses what
-/// the system never writes: indefinite lengths, tags, more than 16 levels
-/// of nesting, and items that reach past the end.
+/// Length in bytes of the CBOR item at the start of `input`. Fails with kind
+/// `syntax` on input that this system never writes: indefinite lengths, tags,
+/// more than 16 levels of nesting, and items that extend past the end.
 ///
-/// The library's parser calls itself for every level of nesting and sets
-/// memory aside by the length that the input claims: a few kilobytes from a
-/// stranger can exhaust stack or memory. Input is measured here first, with
-/// neither.
+/// The library's parser recurses for each level of nesting and allocates by
+/// the length that the input declares, so a few kilobytes from an untrusted
+/// peer can exhaust the stack or the memory. This function neither recurses
+/// nor allocates, and checks the input before it reaches the parser.
 absl::StatusOr<std::size_t>
 cbor_item_length(std::span<std::uint8_t const> input);
 
-/// Parses exactly one CBOR item; never throws.
+/// Parses `input`, which must be exactly one CBOR item within the limits of
+/// cbor_item_length. Fails with kind `syntax`; never throws.
 absl::StatusOr<nlohmann::json> parse_cbor(std::span<std::uint8_t const> input);
 
-/// Appends `item` as CBOR to `output`, where a sequence of items may stand.
+/// Appends `item` as CBOR to `output`. Repeated calls write a CBOR sequence.
 void append_cbor(nlohmann::json const& item, bytes& output);
 
 } // namespace bilberrylead
--- a/bilberrylead/core/cbor_fields.cpp
+++ b/bilberrylead/core/cbor_fields.cpp
@@ -21,9 +21,8 @@
     }
     if (!parsed->is_array())
     {
-        return make_error(error_kind::syntax, "The record is not an array.",
-                          "Check that both sides run versions that work "
-                          "together.");
+        return make_error(error_kind::syntax, "The record is not a CBOR array.",
+                          "Check that both sides run compatible versions.");
     }
     return cbor_fields(*std::move(parsed));
 }
--- a/bilberrylead/core/cbor_fields.hpp
+++ b/bilberrylead/core/cbor_fields.hpp
@@ -15,17 +15,20 @@
 namespace bilberrylead
 {
 
-/// Reads the fields of a record, a flat CBOR array, one after the other.
-/// A field of the wrong type reads as empty and spoils the whole record:
-/// ask complete() once, at the end, before any of it is used.
+/// Reads the fields of a record, a flat CBOR array, in order. A missing field
+/// or a field of the wrong type reads as zero, false or empty and makes the
+/// record invalid. Check complete() after the last field and before any value
+/// is used.
 class cbor_fields
 {
 public:
-    /// Parses one record. Fails if it isn't one CBOR array.
+    /// Parses one record. Fails with kind `syntax` if `record` is not exactly
+    /// one CBOR array.
     static absl::StatusOr<cbor_fields>
     parse(std::span<std::uint8_t const> record);
 
-    /// Takes the record that `input` starts with and moves `input` past it.
+    /// Parses the record at the start of `input` and advances `input` past it.
+    /// `input` stays as it is if its first CBOR item has no valid length.
     static absl::StatusOr<cbor_fields>
     take(std::span<std::uint8_t const>& input);
 
@@ -35,29 +38,29 @@
     cbor_fields& operator=(cbor_fields const&) = delete;
     ~cbor_fields();
 
-    /// The next field, a number from 0.
+    /// The next field, an unsigned 64-bit integer.
     std::uint64_t take_unsigned();
-    /// The next field, a number from 0 to 65535.
+    /// The next field, an integer from 0 to 65535.
     std::uint16_t take_unsigned_16();
-    /// The next field, a number from 0 to 4294967295.
+    /// The next field, an integer from 0 to 4294967295.
     std::uint32_t take_unsigned_32();
-    /// The next field, a number.
+    /// The next field, a signed 64-bit integer.
     std::int64_t take_signed();
     /// The next field, true or false.
     bool take_bool();
-    /// The next field, a text of at most `longest` bytes.
+    /// The next field, a text string of at most `max_length` bytes.
     std::string take_text(std::size_t max_length);
     /// The next field, a byte string.
     bytes take_bytes();
 
-    /// False once a field was missing or of the wrong type. For lists whose
-    /// length stands in the record itself.
+    /// False once a field was missing, of the wrong type or out of range. For
+    /// loops over a list whose length is a field of the record.
     bool intact() const
     {
         return !this->malformed;
     }
 
-    /// True if every field was taken and each had its type.
+    /// True if every field of the record was read and all were valid.
     bool complete() const;
 
 private:
--- a/bilberrylead/core/compression.hpp
+++ b/bilberrylead/core/compression.hpp
@@ -10,18 +10,18 @@
 namespace bilberrylead
 {
 
-/// The content as a Zstandard frame that tells its length. Long documents
-/// repeat their field names and hosts in every entry and become a tenth or
-/// less.
+/// Compresses `content` into a Zstandard frame whose header holds the content
+/// size. Long documents repeat their field names and hosts in every entry and
+/// shrink to a tenth or less.
 bytes compress(bytes const& content);
 
-/// True if the bytes begin as a frame does. No CBOR array, map or JSON text
-/// begins so.
+/// True if `content` starts with the Zstandard magic number. No CBOR array,
+/// CBOR map or JSON text starts with these bytes.
 bool is_compressed(bytes const& content);
 
-/// The content of a frame. Any bytes may come in: kind `bad_value` if they
-/// are no whole frame, or one whose content would be longer than `longest`
-/// bytes; nothing is allocated for it then.
+/// Decompresses a Zstandard frame. The input may be untrusted: fails with kind
+/// `bad_value` if it is not a complete frame, or if the declared content size
+/// exceeds `max_size` bytes. Nothing is allocated for content above the limit.
 absl::StatusOr<bytes> decompress(bytes const& compressed, std::size_t max_size);
 
 } // namespace bilberrylead
--- a/bilberrylead/core/error.cpp
+++ b/bilberrylead/core/error.cpp
@@ -17,7 +17,8 @@
 
 constexpr absl::string_view kind_payload_url = "bilberrylead/error_kind";
 
-/// The packaged absl keeps a string_view type of its own.
+/// The packaged absl defines its own string_view type instead of using the
+/// standard one.
 absl::string_view to_absl(std::string_view text)
 {
     return {text.data(), text.size()};
--- a/bilberrylead/core/error.hpp
+++ b/bilberrylead/core/error.hpp
@@ -9,50 +9,52 @@
 namespace bilberrylead
 {
 
-/// What went wrong, as far as a program or an operator acts on it.
+/// Category of an error, as fine as programs and operators need to react to
+/// it.
 enum class error_kind
 {
     /// The text is not JSON with comments, or not valid CBOR.
     syntax,
-    /// A field that this version does not know.
+    /// A field that this version does not support.
     unknown_field,
-    /// A field that must be there and is not.
+    /// A required field is absent.
     missing_field,
     /// A field of the wrong type or outside its range.
     bad_value,
-    /// A name that nothing defines.
+    /// A reference to a name that is not defined.
     unknown_name,
-    /// A name that is defined twice.
+    /// A name that is defined more than once.
     duplicate_name,
     /// Another change was accepted on the same base revision.
     conflict,
-    /// This host does not lead; the message names who does, if known.
+    /// This host is not the leader; the message names the leader, if known.
     not_leader,
-    /// No quorum answers, so nothing can be accepted now.
+    /// No quorum responds, so no change can be accepted at present.
     no_quorum,
-    /// The other side is not who it must be.
+    /// The identity of the remote side could not be verified.
     not_trusted,
     /// A file or folder could not be read or written.
     storage,
     /// A file's content fails its checksum.
     corrupt,
-    /// There is no room: disk, slots or connections.
+    /// No free capacity: disk space, slots or connections.
     no_room,
-    /// The other side did not answer in time.
+    /// The remote side did not respond in time.
     timeout,
-    /// The connection could not be made or was lost.
+    /// The connection could not be established or was lost.
     connection,
 };
 
-/// The kind's name as logs, problem bodies and JSON output show it.
+/// Name of the kind in logs, problem bodies and JSON output.
 std::string_view to_string(error_kind kind);
 
-/// Makes an error. `what` says what is wrong and where, `remedy` what the
-/// reader can do about it; both are whole short sentences.
+/// Makes an error. `problem` describes what is wrong and where; `remedy`
+/// describes how the reader can resolve it. Both are short, complete
+/// sentences.
 absl::Status make_error(error_kind kind, std::string_view problem,
                         std::string_view remedy);
 
-/// The kind of an error made by make_error, or nothing for another's.
+/// The kind of an error made by make_error, or nullopt for any other status.
 std::optional<error_kind> kind_of(absl::Status const& status);
 
 } // namespace bilberrylead
--- a/bilberrylead/core/log_line.hpp
+++ b/bilberrylead/core/log_line.hpp
@@ -15,19 +15,21 @@
 class log_line
 {
 public:
-    /// Starts the line of a part; `what` says what it tells of.
+    /// Starts a line of the part `part`; `event` names what is logged. Both
+    /// are written without escaping.
     log_line(std::string_view part, std::string_view event);
 
-    /// Adds a text; any bytes may be in it.
+    /// Adds a text field. `value` may hold any bytes; it is escaped.
     log_line& text(std::string_view name, std::string_view value);
-    /// Adds a whole number.
+    /// Adds an integer field.
     log_line& number(std::string_view name, std::int64_t value);
-    /// Adds a number with three digits after the point.
+    /// Adds a number field with three decimal places.
     log_line& real(std::string_view name, double value);
-    /// Adds a length of time in milliseconds; the name should end in _ms.
+    /// Adds a duration in milliseconds with three decimal places; the name
+    /// should end in _ms.
     log_line& time(std::string_view name, duration value);
 
-    /// Writes it to the log.
+    /// Ends the line and writes it to the log. Call once, last.
     void write();
 
 private:
--- a/bilberrylead/core/log_sink.cpp
+++ b/bilberrylead/core/log_sink.cpp
@@ -61,7 +61,8 @@
         }
         if (count < 0 && errno != EAGAIN && errno != EWOULDBLOCK)
         {
-            // Nobody will ever read it: the reader is gone.
+            // Any other error is permanent (for example EPIPE: the reader has
+            // closed its end), so the buffered output can never be delivered.
             this->buffer.clear();
         }
         return;
--- a/bilberrylead/core/log_sink.hpp
+++ b/bilberrylead/core/log_sink.hpp
@@ -9,35 +9,37 @@
 namespace bilberrylead
 {
 
-/// Writes lines to a file descriptor and never waits for its reader. A
-/// reader that stands still would otherwise stop the process in the middle
-/// of a request. What the reader does not take is kept up to a bound; lines
-/// beyond it are dropped and counted, and the count is a line of its own
-/// once there is room. One thread at a time.
+/// Writes lines to a file descriptor without waiting for its reader. With
+/// blocking writes, a stalled reader would stop the process in the middle of a
+/// request. Unwritten output is buffered up to max_buffered_bytes. Lines beyond
+/// that are dropped and counted, and the count is written as a line of its own
+/// once the buffer has free capacity. Not thread-safe.
 class log_sink
 {
 public:
-    /// Writes to a descriptor that it does not own. For never waiting, the
-    /// descriptor must be non-blocking (see make_non_blocking).
+    /// Writes to `descriptor`, which the caller owns and which must outlive the
+    /// sink. Writes block unless the descriptor is non-blocking (see
+    /// make_non_blocking).
     explicit log_sink(int descriptor);
 
-    /// Sets the descriptor to non-blocking; false if that is refused.
+    /// Sets the descriptor to non-blocking mode; false if the system refuses.
     bool make_non_blocking();
 
-    /// Takes one line, without its end, and writes what can be written.
+    /// Buffers one line, given without its line break, and flushes. Drops the
+    /// line if the buffer is full.
     void write(std::string_view line);
 
-    /// Writes what can be written.
+    /// Writes as much of the buffer as the descriptor accepts.
     void flush();
 
-    /// Lines dropped since the start.
+    /// Number of lines dropped since construction.
     std::uint64_t dropped() const
     {
         return this->dropped_total;
     }
 
 private:
-    /// Bytes kept for a slow reader: about a thousand lines.
+    /// Buffer for a slow reader; holds about a thousand lines.
     static constexpr std::size_t max_buffered_bytes = std::size_t{256} << 10U;
 
     int descriptor;
--- a/bilberrylead/core/process_clock.hpp
+++ b/bilberrylead/core/process_clock.hpp
@@ -8,13 +8,13 @@
 namespace bilberrylead
 {
 
-/// The time that events carry.
+/// Current monotonic time of this process, used as the time of events.
 inline instant clock_now()
 {
     return std::chrono::steady_clock::now();
 }
 
-/// The wall clock, for people.
+/// Current wall-clock time, for display only. No decision depends on it.
 inline wall_time wall_clock_now()
 {
     return std::chrono::floor<std::chrono::milliseconds>(
--- a/bilberrylead/core/process_seed.hpp
+++ b/bilberrylead/core/process_seed.hpp
@@ -8,37 +8,37 @@
 namespace bilberrylead
 {
 
-/// What a process draws random numbers for. Each has a sequence of its own,
-/// so that the use of one does not move another.
+/// Purposes for which a process generates random numbers. Each purpose has its
+/// own sequence, so that drawing from one does not change another.
 enum class random_sequence : std::uint8_t
 {
-    /// Parts of split routes.
+    /// Choice among the weighted branches of a split route.
     route_split,
-    /// Which of equal upstreams, and when callers and tries come back.
+    /// Choice among equal upstreams, and retry times of callers and attempts.
     placement,
-    /// Time until a control host wants to lead.
+    /// Election timeout of a control host.
     election,
-    /// Where steering answers begin.
+    /// Position in the host list at which steering answers start.
     steering,
-    /// Pauses before a lost link is dialled again.
+    /// Delay before a lost link is redialled.
     redial,
-    /// Phase of the heartbeats.
+    /// Phase of the heartbeat interval.
     heartbeat,
 };
 
-/// Where the random numbers of one incarnation of one process start.
+/// Seed of all random sequences of one incarnation of a process.
 ///
-/// Failure it answers: hosts that start their numbers at the same place
-/// decide alike, and what chance should even out over all of them does not.
-/// Hosts, and incarnations of a host, differ. There is no default: whoever
-/// draws is given one.
+/// Hosts that share a seed make the same choices, and whatever randomness is
+/// meant to even out over all hosts does not even out. The seed therefore
+/// differs between hosts and between incarnations of a host. There is no
+/// default seed: each user of random numbers is given one.
 class process_seed
 {
 public:
-    /// The seed of that incarnation of that host.
+    /// Derives the seed from the host's id and its incarnation number.
     process_seed(host_id const& host, std::uint64_t incarnation);
 
-    /// Seed of one of its sequences.
+    /// Seed of the given sequence.
     std::uint64_t of(random_sequence sequence) const;
 
 private:
--- a/bilberrylead/core/strong_id.hpp
+++ b/bilberrylead/core/strong_id.hpp
@@ -10,9 +10,9 @@
 namespace bilberrylead
 {
 
-/// A name that cannot be mixed up with a name of another kind: passing an
-/// upstream where a host is expected does not compile.
-/// Owned by value; empty means "none".
+/// An identifier with a distinct type for each kind of object, so that passing
+/// an upstream id where a host id is expected does not compile. Owns its text;
+/// an empty text means "none".
 template <class Tag>
 class strong_id
 {
@@ -25,13 +25,13 @@
     {
     }
 
-    /// The id's text, as written in settings.
+    /// The text of the id, as written in settings.
     std::string const& text() const
     {
         return this->value;
     }
 
-    /// True for the id that names nothing.
+    /// True for the empty id, which identifies nothing.
     bool empty() const
     {
         return this->value.empty();
--- a/bilberrylead/core/time.hpp
+++ b/bilberrylead/core/time.hpp
@@ -7,18 +7,18 @@
 namespace bilberrylead
 {
 
-/// Length of time, in the finest unit that any part needs.
+/// Length of time, in nanoseconds.
 using duration = std::chrono::nanoseconds;
 
-/// A point on this process's own monotonic clock. Never sent to another
-/// process: two hosts' monotonic clocks have nothing in common.
+/// A point on the monotonic clock of this process. Never sent to another
+/// process, because the monotonic clocks of two hosts are unrelated.
 using instant = std::chrono::time_point<std::chrono::steady_clock, duration>;
 
-/// A point on the wall clock, for people (audit trail, logs). It may jump;
-/// no decision is taken from it.
+/// A point on the wall clock, for display (audit trail, logs). It may jump, so
+/// no decision depends on it.
 using wall_time = std::chrono::sys_time<std::chrono::milliseconds>;
 
-/// The length times a factor, rounded towards zero.
+/// `time` multiplied by `factor`, rounded towards zero.
 inline duration scaled(duration time, double factor)
 {
     return duration(
--- a/tests/unit/core/cbor_test.cpp
+++ b/tests/unit/core/cbor_test.cpp
@@ -8,9 +8,10 @@
 
 using namespace bilberrylead;
 
-// A stranger sends a few bytes that claim to hold gigabytes, or thousands
-// of lists within one another. The library's parser would reserve the
-// memory, or call itself until the stack is gone, and the process dies.
+// An untrusted peer sends a few bytes that declare gigabytes of content, or
+// thousands of nested arrays. Without the check before parsing, the library's
+// parser would allocate the declared size or recurse until the stack
+// overflows, and the process would die.
 Test(cbor, hostile_bytes_when_parsed_are_refused)
 {
     bytes const nested_arrays(100'000, 0x81);
--- a/tests/unit/core/compression_test.cpp
+++ b/tests/unit/core/compression_test.cpp
@@ -35,8 +35,8 @@
     cr_expect(*content == document());
 }
 
-// A peer's message is cut or damaged: the receiver hears so and goes on with
-// what it has.
+// A message from a peer arrives truncated or corrupt: decompression returns an
+// error, and the receiver keeps its current content.
 Test(compression, frame_when_cut_or_damaged_is_a_typed_error)
 {
     bytes const compressed = compress(document());
@@ -52,13 +52,13 @@
     {
         bytes damaged = compressed;
         damaged[place] ^= 0x55U;
-        // What can be read at all keeps to the bound.
+        // If the damaged frame still decompresses, the size limit holds.
         absl::StatusOr<bytes> const content = decompress(damaged, max_size);
         cr_assert(!content.ok() || content->size() <= max_size);
     }
 }
 
-// A few bytes that unpack to gigabytes must not take a host's memory.
+// A few bytes that decompress to gigabytes must not exhaust a host's memory.
 Test(compression, content_when_longer_than_allowed_is_refused)
 {
     bytes const compressed = compress(bytes(max_size + 1, 'x'));
--- a/tests/unit/core/log_sink_test.cpp
+++ b/tests/unit/core/log_sink_test.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// A pipe whose reader reads when the test says so.
+/// A pipe that is read only when the test calls read().
 struct piped_log
 {
     piped_log()
@@ -42,8 +42,8 @@
 
 } // namespace
 
-// The reader of the log stands still. The process must go on serving: lines
-// are dropped and counted, and once the reader is back it is told how many.
+// The reader of the log stalls. The process must continue to serve: lines are
+// dropped and counted, and the count is written once the reader resumes.
 Test(log_sink, stalled_reader_does_not_block_the_writer)
 {
     piped_log pipe;
@@ -77,7 +77,8 @@
     cr_expect_eq(sink.dropped(), 0U);
 }
 
-// Whoever collected the log is gone for good.
+// The reader of the log has closed its end and will not return: buffered lines
+// are discarded instead of filling the buffer.
 Test(log_sink, closed_reader_leaves_no_buffered_lines)
 {
     std::array<int, 2> ends{};
