--- a/bilberrylead/core/error.cpp
+++ b/bilberrylead/core/error.cpp
@@ -17,7 +17,8 @@
 
 constexpr absl::string_view kind_payload_url = "bilberrylead/error_kind";
 
-/// The packaged absl keeps a string_view type of its own.
+/// The packaged absl defines its own string_view type instead of using the
+/// standard one.
 absl::string_view to_absl(std::string_view text)
 {
     return {text.data(), text.size()};
@@ -71,12 +72,12 @@
     return row_of(kind).name;
 }
 
-absl::Status make_error(error_kind kind, std::string_view what,
+absl::Status make_error(error_kind kind, std::string_view problem,
                         std::string_view remedy)
 {
     absl::Status status(
         row_of(kind).code,
-        fmt::format("{}: {} {}", to_string(kind), what, remedy));
+        fmt::format("{}: {} {}", to_string(kind), problem, remedy));
     status.SetPayload(kind_payload_url, absl::Cord(to_absl(to_string(kind))));
     return status;
 }
