--- a/tests/unit/control/control_reducer_test.cpp
+++ b/tests/unit/control/control_reducer_test.cpp
@@ -71,7 +71,7 @@
 
 } // namespace
 
-Test(control_reducer, change_when_a_quorum_has_it_is_answered_and_published)
+Test(control_reducer, change_stored_by_a_quorum_is_answered_and_published)
 {
     led_group group;
     std::vector<std::size_t> const recipients{group.leader, group.follower};
@@ -100,7 +100,7 @@
 // acknowledgements, so that the operator gets no answer. Resent through the
 // next leader, the change must be reported as already accepted, as revision 1.
 // The old leader never reports it as accepted.
-Test(control_reducer, change_when_resent_after_a_leader_change_counts_once)
+Test(control_reducer, change_resent_after_a_leader_change_is_applied_once)
 {
     led_group group;
     group.not_receiving = {group.leader};
@@ -125,7 +125,7 @@
                  1U);
 }
 
-Test(control_reducer, changes_when_racing_from_one_base_have_one_winner)
+Test(control_reducer, concurrent_changes_to_one_base_accept_only_the_first)
 {
     led_group group;
     group.request(group.leader, 1, change("a", 0));
@@ -137,7 +137,7 @@
     cr_assert(outcome_of(group.answer_to(2)) == catalog::change_outcome(lost));
 }
 
-Test(control_reducer, operator_at_a_follower_hears_who_leads)
+Test(control_reducer, follower_refuses_operator_requests_and_names_the_leader)
 {
     led_group group;
     group.request(group.follower, 1, change("a", 0));
@@ -157,7 +157,7 @@
 // Guards against a change reported as accepted, or a claim reported as
 // granted, while only the leader has stored it. Both followers are cut off:
 // the next leader may have received neither.
-Test(control_reducer, requests_without_a_quorum_are_never_called_accepted)
+Test(control_reducer, requests_without_a_quorum_are_never_reported_accepted)
 {
     led_group group;
     group.isolated = {group.leader};
@@ -275,7 +275,7 @@
 // link closes, the leader plans the membership from its links to control
 // hosts. A leftover entry of the closed link in that table referred to no link
 // and crashed the leader.
-Test(control_reducer, entry_host_whose_link_ended_is_no_control_host)
+Test(control_reducer, disconnected_entry_host_is_not_made_a_group_member)
 {
     led_group group;
     group.dispatch(group.leader,
@@ -325,7 +325,7 @@
 // All hosts have lost power, and entry hosts request the upstreams before any
 // leader has read the list. The listing that the control host stored before
 // the restart is enough to serve callers.
-Test(control_reducer, host_when_restarted_hands_out_the_listing_it_remembers)
+Test(control_reducer, restarted_host_sends_the_stored_upstream_listing)
 {
     control::control_reducer_settings settings;
     settings.self = control_host(0);
@@ -422,7 +422,7 @@
 // an entry host that starts before the leader's next plan routes all of its
 // first requests to its own region, where their objects are not held. It then
 // moves to its shares at the bounded rate, which takes ten seconds and more.
-Test(control_reducer, plan_goes_to_an_entry_host_of_the_region_that_starts)
+Test(control_reducer, plan_is_sent_to_an_entry_host_starting_in_its_region)
 {
     planned_control_host host;
     host.connect(1, link::peer_role::entry);
@@ -436,7 +436,7 @@
     cr_expect(host.plans().empty(), "the plan is for another region");
 }
 
-Test(control_reducer, plan_of_an_older_term_or_of_an_entry_host_is_not_held)
+Test(control_reducer, plan_of_an_older_term_or_from_an_entry_host_is_ignored)
 {
     planned_control_host host;
     host.connect(1, link::peer_role::control);
@@ -451,7 +451,7 @@
 
 // Guards against crash reports that need a leader, or that are not forwarded
 // by the control host that receives them.
-Test(control_reducer, crash_report_reaches_hosts_at_all_control_hosts_once)
+Test(control_reducer, crash_report_is_forwarded_once_by_every_control_host)
 {
     led_group group;
     group.isolated.insert(group.leader);
@@ -469,7 +469,7 @@
 
 // Guards against entry hosts that start without the records of requests that
 // crash upstreams.
-Test(control_reducer, crash_records_go_to_a_host_that_is_linked)
+Test(control_reducer, crash_records_are_sent_to_a_newly_connected_entry_host)
 {
     led_group group;
     group.send_from_entry_host(
--- a/tests/unit/discovery/list_reader_test.cpp
+++ b/tests/unit/discovery/list_reader_test.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-Test(list_reader, pages_when_read_one_after_the_other_make_the_whole_list)
+Test(list_reader, pages_read_in_sequence_make_the_complete_list)
 {
     list_reader reader({});
     reader.set_active(true, start);
@@ -55,7 +55,7 @@
 // The platform limits the calls of all hosts together. Two hosts may read at
 // the same time while the leader changes; together they must stay within the
 // limit.
-Test(list_reader, calls_when_counted_stay_below_the_allowed_rate)
+Test(list_reader, calls_stay_below_the_rate_limit)
 {
     list_reader_settings settings;
     settings.calls_per_second = 5;
@@ -78,7 +78,7 @@
 
 // A page in the middle of the list fails. Half a list would take the upstreams
 // of the other half out of use.
-Test(list_reader, failed_page_when_retried_starts_from_the_first)
+Test(list_reader, reading_after_a_failed_page_restarts_at_the_first_page)
 {
     list_reader reader({});
     reader.set_active(true, start);
@@ -98,7 +98,7 @@
 
 // A call times out, and its answer arrives after the next call was made. The
 // late answer must be ignored, since its reading has been restarted.
-Test(list_reader, late_answer_of_a_call_given_up_is_not_taken)
+Test(list_reader, late_answer_to_a_timed_out_call_is_ignored)
 {
     list_reader reader({});
     reader.set_active(true, start);
@@ -111,7 +111,7 @@
             .has_value());
 }
 
-Test(list_reader, host_that_does_not_lead_makes_no_call)
+Test(list_reader, inactive_reader_makes_no_call)
 {
     list_reader reader({});
     cr_expect_not(reader.next_call(start).has_value());
@@ -127,7 +127,7 @@
 // has 16 pages and each answer takes 70 ms. If the interval were counted from
 // the answer instead of from the previous call, a reading would take twice as
 // long.
-Test(list_reader, answers_that_take_long_do_not_add_to_the_pause)
+Test(list_reader, slow_answers_do_not_lengthen_the_call_interval)
 {
     list_reader_settings settings;
     settings.calls_per_second = 50;
@@ -150,7 +150,7 @@
 // has 36 pages in nine zones, and each answer takes 70 ms and identifies the
 // next page. Read in sequence, the last page arrives after 2.5 s, which is too
 // late. Read by zone, the pages arrive as fast as the rate limit allows.
-Test(list_reader, long_list_when_read_by_zone_takes_as_long_as_its_calls)
+Test(list_reader, long_list_read_by_zone_is_bounded_by_the_rate_limit)
 {
     constexpr int pages_a_zone = 4;
     list_reader_settings settings;
@@ -192,7 +192,7 @@
 
 // A page of one zone fails. The pages of the other zones must be kept, and half
 // a list must not take any upstream out of use.
-Test(list_reader, failed_page_of_a_zone_starts_only_that_zone_again)
+Test(list_reader, failed_page_of_a_zone_restarts_only_that_zone)
 {
     list_reader_settings settings;
     settings.calls_per_second = 1000;
@@ -219,7 +219,7 @@
 
 // The list has upstreams in a zone that is not in the settings. If it were read
 // by zone, they would be missing and their callers would be refused.
-Test(list_reader, list_with_unknown_zones_is_read_as_a_whole)
+Test(list_reader, list_with_unknown_zones_is_not_read_by_zone)
 {
     list_reader_settings settings;
     settings.zones = {zone_id("z0")};
@@ -332,7 +332,7 @@
 
 // Guards against a full scan that delays the readings by zone: a leaving
 // upstream would be found only after more than three seconds.
-Test(list_reader, survey_of_all_zones_holds_no_reading_up)
+Test(list_reader, full_scan_does_not_delay_readings_by_zone)
 {
     long_list list;
     list.run_for(120s);
@@ -343,7 +343,7 @@
 
 // Guards against a rate limit so low that the readings leave no calls for the
 // full scan, and against full scans that run all the time.
-Test(list_reader, survey_comes_once_in_so_many_readings)
+Test(list_reader, full_scan_runs_once_per_configured_number_of_readings)
 {
     list_reader_settings settings;
     settings.calls_per_second = 1000;
@@ -378,7 +378,7 @@
 // An upstream is in a zone that is not in the settings. If the list were only
 // read by zone, it would be missing permanently and its callers would be
 // refused.
-Test(list_reader, survey_that_finds_a_new_zone_has_the_list_read_as_a_whole)
+Test(list_reader, full_scan_that_finds_a_new_zone_ends_reading_by_zone)
 {
     long_list list;
     list.run_for(10s);
--- a/tests/unit/discovery/upstream_listing_test.cpp
+++ b/tests/unit/discovery/upstream_listing_test.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-Test(upstream_listing, second_reading_without_news_tells_nobody)
+Test(upstream_listing, unchanged_reading_produces_no_changes)
 {
     upstream_listing listing;
     cr_assert(listing.apply_reading({entry("a")}, 3, start).has_value());
@@ -43,7 +43,7 @@
     cr_expect(listing.position() == first);
 }
 
-Test(upstream_listing, only_what_differs_is_told)
+Test(upstream_listing, reading_produces_only_the_differences)
 {
     upstream_listing listing;
     listing.apply_reading({entry("a"), entry("b"), entry("c")}, 3, start);
@@ -57,7 +57,7 @@
 
 // The remaining cold time decreases between two readings. This must not count
 // as a change, or every reading would be sent to every entry host.
-Test(upstream_listing, cold_time_that_runs_down_is_no_news)
+Test(upstream_listing, decreasing_cold_time_is_not_a_change)
 {
     upstream_listing listing;
     listing.apply_reading({entry("a", false, start + 3s)}, 3, start);
@@ -72,7 +72,7 @@
 
 // A leader is frozen while another one takes over and reads the list. When it
 // resumes it still sends its own listing, of the older term.
-Test(upstream_listing, replaced_reader_when_it_wakes_is_not_believed)
+Test(upstream_listing, changes_from_a_replaced_leader_are_rejected)
 {
     upstream_listing old_reader;
     list_changes const old_changes =
@@ -91,7 +91,7 @@
 
 // A delta is lost because its link closes. The next one has a base that the
 // receiver does not hold, and must not be applied to the older listing.
-Test(upstream_listing, delta_with_another_base_asks_for_the_whole)
+Test(upstream_listing, delta_with_another_base_requires_the_full_listing)
 {
     upstream_listing reader;
     upstream_listing held;
@@ -111,7 +111,7 @@
 // Guards against requests that reach an upstream seconds after it was listed
 // as leaving. Its page was read at once, but the later pages took long, and no
 // changes were sent before the last page had arrived.
-Test(upstream_listing, leaving_upstream_is_told_before_the_whole_list_is_read)
+Test(upstream_listing, leaving_upstream_is_published_before_the_reading_ends)
 {
     upstream_listing listing;
     listing.apply_reading({entry("a"), entry("b")}, 3, start);
@@ -133,7 +133,7 @@
         "already sent");
 }
 
-Test(upstream_listing, part_of_a_list_adds_nothing_but_leaving)
+Test(upstream_listing, partial_reading_adds_no_upstream_and_only_marks_leaving)
 {
     upstream_listing listing;
     listing.apply_reading({entry("a")}, 3, start);
@@ -144,7 +144,7 @@
 
 // A new leader has not completed a reading in its term, so its followers may
 // hold another listing.
-Test(upstream_listing, part_of_a_list_counts_for_nothing_in_a_new_term)
+Test(upstream_listing, partial_reading_in_a_new_term_is_ignored)
 {
     upstream_listing listing;
     listing.apply_reading({entry("a")}, 3, start);
--- a/tests/unit/distribution/revision_exchange_test.cpp
+++ b/tests/unit/distribution/revision_exchange_test.cpp
@@ -148,7 +148,7 @@
 
 } // namespace
 
-Test(revision_exchange, entry_host_when_linked_gets_the_revision_held)
+Test(revision_exchange, entry_host_receives_the_current_revision_on_connect)
 {
     exchange_fixture f;
     std::size_t const source = f.add("c1", true);
@@ -160,7 +160,7 @@
     cr_assert_eq(f.nodes[source].exchange.count_acknowledged(4), 1U);
 }
 
-Test(revision_exchange, content_with_three_sources_and_a_neighbour_comes_once)
+Test(revision_exchange, content_held_by_three_sources_and_a_peer_is_sent_once)
 {
     exchange_fixture f;
     std::size_t const first = f.add("c1", true);
@@ -188,7 +188,7 @@
 // A zone is cut off from every control host, and one of its entry hosts still
 // runs with revision 9. A host that restarts in the zone holds no revision and
 // must get this one instead of waiting for a control host.
-Test(revision_exchange, restarted_host_in_a_cut_off_zone_gets_the_neighbours)
+Test(revision_exchange, restarted_host_in_an_isolated_zone_syncs_from_a_peer)
 {
     exchange_fixture f;
     std::size_t const source = f.add("c1", true);
@@ -208,7 +208,7 @@
 // A peer is frozen with revision 3 and resumes when revision 7 is in force.
 // The host with revision 7 must keep it whatever the peer sends: an older
 // revision would undo an accepted change.
-Test(revision_exchange, older_revision_when_it_comes_late_is_dropped)
+Test(revision_exchange, older_revision_received_late_is_ignored)
 {
     exchange_fixture f;
     std::size_t const source = f.add("c1", true);
@@ -247,7 +247,7 @@
 
 // The pushing link closes while an update is in flight. Another pushing link
 // is chosen at once and delivers what is missing, without waiting for a timer.
-Test(revision_exchange, chosen_link_when_lost_is_replaced_at_once)
+Test(revision_exchange, closed_push_link_is_replaced_immediately)
 {
     exchange_fixture f;
     std::size_t const first = f.add("c1", true);
@@ -265,7 +265,7 @@
 
 // A host misses five hundred changes. It gets the newest one in a single
 // update and none of those between.
-Test(revision_exchange, host_behind_by_hundreds_when_back_gets_the_newest)
+Test(revision_exchange, reconnected_host_receives_only_the_newest_revision)
 {
     exchange_fixture f;
     std::size_t const source = f.add("c1", true);
--- a/tests/unit/membership/member_planner_test.cpp
+++ b/tests/unit/membership/member_planner_test.cpp
@@ -112,7 +112,7 @@
 
 // The group starts with three initial members. If these stayed the only
 // voters, the loss of two disks could destroy the only two copies of an order.
-Test(member_planner, founders_when_the_others_join_become_five_voters)
+Test(member_planner, three_initial_members_grow_to_five_voters_as_hosts_join)
 {
     std::vector<planned_host> hosts = six_hosts();
     settle(hosts);
@@ -130,7 +130,7 @@
 
 // A host fails permanently. The spare learner must become a voter before the
 // failed one is removed, so that the number of copies never decreases.
-Test(member_planner, dead_voter_is_replaced_before_it_is_removed)
+Test(member_planner, failed_voter_is_replaced_before_it_is_removed)
 {
     std::vector<planned_host> hosts = six_hosts();
     settle(hosts);
@@ -153,7 +153,7 @@
 
 // Two hosts are lost one after the other and are replaced by empty hosts at
 // other addresses.
-Test(member_planner, two_hosts_replaced_in_turn_leave_five_voters_alive)
+Test(member_planner, two_successive_replacements_leave_five_responsive_voters)
 {
     std::vector<planned_host> hosts = six_hosts();
     settle(hosts);
@@ -189,7 +189,7 @@
 // A region is cut off, its votes are given to hosts in other regions, and it
 // becomes reachable again. No region may keep more votes than the group can
 // lose.
-Test(member_planner, region_that_was_away_gets_its_votes_back)
+Test(member_planner, votes_stay_balanced_after_a_region_reconnects)
 {
     std::vector<planned_host> hosts = six_hosts();
     settle(hosts);
@@ -221,7 +221,7 @@
 // Most of the hosts are unreachable for a short time. The group must not
 // shrink to the rest, since accepted entries may be stored only on the
 // unreachable hosts.
-Test(member_planner, silent_majority_without_a_spare_keeps_its_votes)
+Test(member_planner, unreachable_majority_without_a_spare_keeps_its_votes)
 {
     std::vector<planned_host> hosts = six_hosts();
     settle(hosts);
@@ -242,7 +242,7 @@
                            }));
 }
 
-Test(member_planner, learner_that_fell_silent_is_forgotten)
+Test(member_planner, unresponsive_learner_is_removed)
 {
     std::vector<planned_host> hosts = six_hosts();
     settle(hosts);
--- a/tests/unit/presence/control_link_plan_test.cpp
+++ b/tests/unit/presence/control_link_plan_test.cpp
@@ -61,7 +61,7 @@
 
 // Guards against overload by heartbeats: hundreds of entry hosts that each
 // send two heartbeats a second to dozens of control hosts do little else.
-Test(control_links, entry_host_of_a_large_group_links_a_few_in_all_places)
+Test(control_links, entry_host_links_few_hosts_of_a_large_group_across_zones)
 {
     std::vector<group_host> const hosts = group_of(3);
     std::set<host_id> const chosen = choose_control_links(
@@ -79,7 +79,7 @@
     cr_expect_eq(zones[zone_id("a3")], 1U);
 }
 
-Test(control_links, small_group_is_linked_whole)
+Test(control_links, small_group_is_linked_completely)
 {
     std::vector<group_host> const hosts = group_of(1);
     cr_expect_eq(
@@ -90,7 +90,7 @@
 // Callers query any control host of their zone and get the entry hosts that
 // are linked to it. A control host with few links would direct all of its
 // callers to these few.
-Test(control_links, control_hosts_hear_about_as_many_entry_hosts_each)
+Test(control_links, links_are_balanced_over_the_control_hosts_of_a_region)
 {
     std::vector<group_host> const hosts = group_of(3);
     std::map<host_id, std::size_t> links_by_host;
@@ -114,7 +114,7 @@
     }
 }
 
-Test(control_links, lost_host_moves_no_link_but_its_own)
+Test(control_links, removed_host_changes_only_its_own_link)
 {
     std::vector<group_host> hosts = group_of(3);
     std::set<host_id> const before =
@@ -136,7 +136,7 @@
     cr_expect_eq(kept, before.size() - 1);
 }
 
-Test(control_links, host_whose_place_is_unknown_is_linked)
+Test(control_links, host_with_unknown_region_and_zone_is_linked)
 {
     std::vector<group_host> hosts = group_of(3);
     hosts.push_back({host_id("new"), {}, {}});
@@ -148,7 +148,7 @@
 // are in the minority: they have no leader and accept no changes. An
 // operator's change in the majority would never reach this entry host's
 // callers.
-Test(control_link_plan, links_without_a_leader_make_it_call_all)
+Test(control_link_plan, plan_without_a_leader_links_all_control_hosts)
 {
     control_link_plan plan(entry_host(1), region_id("a"));
     cr_expect(plan.is_searching(start), "no host was reported yet");
@@ -168,7 +168,7 @@
 
 // After all links are lost at once, the plan must still contain hosts to
 // connect to.
-Test(control_link_plan, closed_links_leave_what_they_named)
+Test(control_link_plan, plan_keeps_the_known_hosts_after_links_close)
 {
     control_link_plan plan(entry_host(1), region_id("a"));
     plan.group_received(1, group_of(3));
--- a/tests/unit/presence/entry_table_test.cpp
+++ b/tests/unit/presence/entry_table_test.cpp
@@ -57,7 +57,7 @@
 
 // A host is frozen or cut off: its link stays open but delivers no heartbeats.
 // Callers that are still directed to the host lose their requests.
-Test(entry_table, host_that_fell_silent_is_not_named)
+Test(entry_table, host_without_recent_heartbeats_is_not_listed)
 {
     entry_table table({}, test_seed);
     table.record_heartbeat(1, host_id("e1"), ready_host(1, "near"), start);
@@ -67,7 +67,7 @@
         table.reply_to(query_from("near"), start + 2s).entry_hosts.empty());
 }
 
-Test(entry_table, host_whose_link_ended_is_not_named)
+Test(entry_table, disconnected_host_is_not_listed)
 {
     entry_table table({}, test_seed);
     table.record_heartbeat(1, host_id("e1"), ready_host(1, "near"), start);
@@ -77,7 +77,7 @@
 
 // A host has restarted and opened a new link before the old one is reported
 // closed. Closing the old link must not remove the host.
-Test(entry_table, end_of_an_older_link_leaves_the_host_named)
+Test(entry_table, closing_an_older_link_keeps_the_host_listed)
 {
     entry_table table({}, test_seed);
     table.record_heartbeat(1, host_id("e1"), ready_host(1, "near"), start);
@@ -87,7 +87,7 @@
                  1U);
 }
 
-Test(entry_table, host_that_stops_or_is_not_ready_is_not_named)
+Test(entry_table, stopping_or_unready_host_is_not_listed)
 {
     entry_table table({}, test_seed);
     link::entry_presence stopping = ready_host(1, "near");
@@ -102,7 +102,7 @@
 
 // A region has more hosts than fit into a reply. Without rotation the last
 // hosts by name would never get a caller, and the first ones would get all.
-Test(entry_table, many_hosts_are_named_equally_often)
+Test(entry_table, many_hosts_are_listed_equally_often)
 {
     constexpr std::uint16_t hosts = 40;
     entry_table table({}, test_seed);
@@ -131,7 +131,7 @@
 // Guards against control hosts that all begin their replies at the same entry
 // host: the first callers, which query any of them, would all be directed to
 // the same few entry hosts.
-Test(entry_table, control_hosts_begin_with_different_entry_hosts)
+Test(entry_table, control_hosts_list_different_entry_hosts_first)
 {
     constexpr std::uint16_t hosts = 40;
     constexpr int control_hosts = 27;
@@ -152,7 +152,7 @@
     cr_expect_geq(named_first.size(), 13U, "about 20 if drawn at random");
 }
 
-Test(entry_table, answer_is_never_good_for_longer_than_allowed)
+Test(entry_table, reply_ttl_does_not_exceed_the_maximum)
 {
     presence::entry_table_settings settings;
     settings.max_ttl = 700ms;
@@ -163,7 +163,7 @@
 // Eight hosts are in one region and one in each of two others. If a limit on
 // the large region's hosts were divided by a third of the ten hosts, it would
 // be exceeded more than twofold.
-Test(entry_table, hosts_are_counted_in_the_region_with_the_most)
+Test(entry_table, max_ready_hosts_counts_the_largest_region)
 {
     entry_table table({}, test_seed);
     for (std::uint16_t number = 1; number <= 8; ++number)
