--- a/tests/unit/entry/entry_load_test.cpp
+++ b/tests/unit/entry/entry_load_test.cpp
@@ -115,7 +115,7 @@
     cr_assert_eq(entry.reducer.under_way(), 0);
 }
 
-Test(entry_load, heavy_caller_does_not_take_the_others_turn)
+Test(entry_load, heavy_caller_does_not_starve_other_callers)
 {
     // One bureau sends 20 lookups with each that nine others send. The slots
     // can't carry that; each of the nine still gets nearly all of its own.
--- a/tests/unit/entry/routed_request_test.cpp
+++ b/tests/unit/entry/routed_request_test.cpp
@@ -161,7 +161,7 @@
 }
 
 // Nothing comes from the upstream until the route's time is over.
-Test(routed_request, request_past_its_routes_time_gets_its_answer)
+Test(routed_request, request_past_its_route_timeout_is_answered_unknown)
 {
     routed_entry host;
     host.arrive(1, "/w/x");
