--- a/tests/unit/entry/entry_load_test.cpp
+++ b/tests/unit/entry/entry_load_test.cpp
@@ -115,7 +115,7 @@
     cr_assert_eq(entry.reducer.requests_in_progress(), 0);
 }
 
-Test(entry_load, heavy_caller_does_not_take_the_others_turn)
+Test(entry_load, heavy_caller_does_not_starve_other_callers)
 {
     // One caller, "bureau", sends 20 lookups for each that nine others send.
     // The slots cannot serve them all; each of the nine must still get nearly
