--- a/bilberrylead/daemon/control_store.cpp
+++ b/bilberrylead/daemon/control_store.cpp
@@ -177,7 +177,7 @@
     // that lacks committed entries.
     if (effect.discard_log && this->journal.last_index() > index)
     {
-        absl::Status dropped = this->journal.drop_after(index);
+        absl::Status dropped = this->journal.truncate_after(index);
         if (!dropped.ok())
         {
             return dropped;
--- a/bilberrylead/daemon/message_memory.cpp
+++ b/bilberrylead/daemon/message_memory.cpp
@@ -36,8 +36,8 @@
     {
         return std::nullopt;
     }
-    std::optional<store::checked_file> const file =
-        store::decode_checked_file(this->kind.purpose, **held);
+    std::optional<store::checksummed_file> const file =
+        store::decode_checksummed_file(this->kind.purpose, **held);
     if (!file.has_value())
     {
         log.warning("The remembered {} is damaged and not used.",
@@ -65,8 +65,8 @@
     this->is_due = false;
     this->is_writing = true;
     this->written_at = now;
-    bytes content = store::encode_checked_file(this->kind.purpose, no_number,
-                                               link::encode(newest));
+    bytes content = store::encode_checksummed_file(
+        this->kind.purpose, no_number, link::encode(newest));
     boost::asio::post(
         this->writer,
         [this, content = std::move(content)]()
--- a/bilberrylead/daemon/message_memory.hpp
+++ b/bilberrylead/daemon/message_memory.hpp
@@ -3,7 +3,7 @@
 
 #include "bilberrylead/core/time.hpp"
 #include "bilberrylead/link/message.hpp"
-#include "bilberrylead/store/checked_file.hpp"
+#include "bilberrylead/store/checksummed_file.hpp"
 
 #include <absl/status/status.h>
 #include <boost/asio/io_context.hpp>
--- a/bilberrylead/store/checked_file.hpp
+++ b/bilberrylead/store/checksummed_file.hpp
@@ -1,5 +1,5 @@
-#ifndef BILBERRYLEAD_STORE_CHECKED_FILE_HPP
-#define BILBERRYLEAD_STORE_CHECKED_FILE_HPP
+#ifndef BILBERRYLEAD_STORE_CHECKSUMMED_FILE_HPP
+#define BILBERRYLEAD_STORE_CHECKSUMMED_FILE_HPP
 
 #include "bilberrylead/core/bytes.hpp"
 
@@ -28,7 +28,7 @@
 
 /// A file that is written once, whole: a number and content, checksummed
 /// and with the format's version.
-struct checked_file
+struct checksummed_file
 {
     /// Incarnation, snapshot index or journal base, by purpose.
     std::uint64_t number = 0;
@@ -37,16 +37,17 @@
 };
 
 /// The file's bytes.
-bytes encode_checked_file(file_purpose purpose, std::uint64_t number,
-                          std::span<std::uint8_t const> content);
+bytes encode_checksummed_file(file_purpose purpose, std::uint64_t number,
+                              std::span<std::uint8_t const> content);
 
 /// The file that `input` starts with, or nothing if it is damaged, for
 /// another purpose or of another version.
-std::optional<checked_file>
-decode_checked_file(file_purpose purpose, std::span<std::uint8_t const> input);
+std::optional<checksummed_file>
+decode_checksummed_file(file_purpose purpose,
+                        std::span<std::uint8_t const> input);
 
 /// Bytes that encode_checked_file adds to the content.
-inline constexpr std::size_t checked_file_head = 32;
+inline constexpr std::size_t checksummed_file_header_size = 32;
 
 } // namespace bilberrylead::store
 
--- a/bilberrylead/store/durable_file.hpp
+++ b/bilberrylead/store/durable_file.hpp
@@ -43,8 +43,8 @@
     durable_file() = default;
 
     /// Takes over a file that is positioned at its end.
-    durable_file(file_descriptor&& open_file, std::string shown_path)
-        : file(std::move(open_file)), path(std::move(shown_path))
+    durable_file(file_descriptor&& open_file, std::string display_path)
+        : file(std::move(open_file)), path(std::move(display_path))
     {
     }
 
@@ -53,7 +53,7 @@
     {
         if (this->failed)
         {
-            return this->failure("failed before");
+            return this->write_error("failed before");
         }
         this->failed = true;
         while (!data.empty())
@@ -65,13 +65,13 @@
             }
             if (written <= 0)
             {
-                return this->failure(std::strerror(errno));
+                return this->write_error(std::strerror(errno));
             }
             data = data.subspan(static_cast<std::size_t>(written));
         }
         if (Calls::sync(this->file.get()) != 0)
         {
-            return this->failure(std::strerror(errno));
+            return this->write_error(std::strerror(errno));
         }
         this->failed = false;
         return absl::OkStatus();
@@ -84,7 +84,7 @@
     }
 
 private:
-    absl::Status failure(char const* reason) const
+    absl::Status write_error(char const* reason) const
     {
         return make_error(
             error_kind::storage,
--- a/bilberrylead/store/file_descriptor.cpp
+++ b/bilberrylead/store/file_descriptor.cpp
@@ -7,37 +7,38 @@
 namespace bilberrylead::store
 {
 
-file_descriptor::file_descriptor(int open_number) : number(open_number)
+file_descriptor::file_descriptor(int open_descriptor)
+    : descriptor(open_descriptor)
 {
 }
 
 file_descriptor::file_descriptor(file_descriptor&& other) noexcept
-    : number(std::exchange(other.number, -1))
+    : descriptor(std::exchange(other.descriptor, -1))
 {
 }
 
 file_descriptor& file_descriptor::operator=(file_descriptor&& other) noexcept
 {
-    std::swap(this->number, other.number);
+    std::swap(this->descriptor, other.descriptor);
     return *this;
 }
 
 file_descriptor::~file_descriptor()
 {
-    if (this->number >= 0)
+    if (this->descriptor >= 0)
     {
-        ::close(this->number);
+        ::close(this->descriptor);
     }
 }
 
 int file_descriptor::get() const
 {
-    return this->number;
+    return this->descriptor;
 }
 
 bool file_descriptor::is_open() const
 {
-    return this->number >= 0;
+    return this->descriptor >= 0;
 }
 
 } // namespace bilberrylead::store
--- a/bilberrylead/store/file_descriptor.hpp
+++ b/bilberrylead/store/file_descriptor.hpp
@@ -11,7 +11,7 @@
     /// Owns nothing.
     file_descriptor() = default;
     /// Takes over an open file; -1 is none.
-    explicit file_descriptor(int open_number);
+    explicit file_descriptor(int open_descriptor);
     file_descriptor(file_descriptor&& other) noexcept;
     file_descriptor& operator=(file_descriptor&& other) noexcept;
     file_descriptor(file_descriptor const&) = delete;
@@ -24,7 +24,7 @@
     bool is_open() const;
 
 private:
-    int number = -1;
+    int descriptor = -1;
 };
 
 } // namespace bilberrylead::store
--- a/bilberrylead/store/folder_files.cpp
+++ b/bilberrylead/store/folder_files.cpp
@@ -21,34 +21,34 @@
 namespace
 {
 
-constexpr mode_t private_file = 0600;
+constexpr mode_t private_file_mode = 0600;
 
-std::filesystem::path unfinished_name(std::filesystem::path const& path)
+std::filesystem::path temporary_path(std::filesystem::path const& path)
 {
     return path.string() + ".tmp";
 }
 
-absl::Status system_error(std::string_view what,
+absl::Status system_error(std::string_view operation,
                           std::filesystem::path const& path)
 {
     return make_error(
         error_kind::storage,
-        fmt::format("{} {} failed: {}.", what, path.string(),
+        fmt::format("{} {} failed: {}.", operation, path.string(),
                     std::strerror(errno)),
         "Check the disk and the folder's owner, then restart this process.");
 }
 
 } // namespace
 
-absl::Status make_folder(std::filesystem::path const& folder)
+absl::Status create_folder(std::filesystem::path const& folder)
 {
     std::error_code failure;
     if (std::filesystem::is_directory(folder, failure))
     {
         return absl::OkStatus();
     }
-    constexpr mode_t private_folder = 0700;
-    if (::mkdir(folder.c_str(), private_folder) != 0 && errno != EEXIST)
+    constexpr mode_t private_folder_mode = 0700;
+    if (::mkdir(folder.c_str(), private_folder_mode) != 0 && errno != EEXIST)
     {
         return system_error("Making the data folder", folder);
     }
@@ -58,9 +58,9 @@
 
 absl::Status sync_folder(std::filesystem::path const& folder)
 {
-    file_descriptor const opened(
+    file_descriptor const descriptor(
         ::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
-    if (!opened.is_open() || ::fsync(opened.get()) != 0)
+    if (!descriptor.is_open() || ::fsync(descriptor.get()) != 0)
     {
         return system_error("Syncing the folder", folder);
     }
@@ -70,8 +70,9 @@
 absl::StatusOr<std::optional<bytes>>
 read_file(std::filesystem::path const& path)
 {
-    file_descriptor const opened(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
-    if (!opened.is_open())
+    file_descriptor const descriptor(
+        ::open(path.c_str(), O_RDONLY | O_CLOEXEC));
+    if (!descriptor.is_open())
     {
         if (errno == ENOENT)
         {
@@ -79,26 +80,27 @@
         }
         return system_error("Opening", path);
     }
-    struct stat details = {};
-    if (::fstat(opened.get(), &details) != 0)
+    struct stat file_status = {};
+    if (::fstat(descriptor.get(), &file_status) != 0)
     {
         return system_error("Reading", path);
     }
-    bytes content(static_cast<std::size_t>(details.st_size));
+    bytes content(static_cast<std::size_t>(file_status.st_size));
     std::size_t position = 0;
     while (position < content.size())
     {
-        ssize_t const got = ::read(opened.get(), content.data() + position,
-                                   content.size() - position);
-        if (got < 0 && errno == EINTR)
+        ssize_t const count =
+            ::read(descriptor.get(), content.data() + position,
+                   content.size() - position);
+        if (count < 0 && errno == EINTR)
         {
             continue;
         }
-        if (got <= 0)
+        if (count <= 0)
         {
             return system_error("Reading", path);
         }
-        position += static_cast<std::size_t>(got);
+        position += static_cast<std::size_t>(count);
     }
     return std::optional<bytes>(std::move(content));
 }
@@ -106,56 +108,56 @@
 absl::Status replace_file(std::filesystem::path const& path,
                           std::span<std::uint8_t const> content)
 {
-    std::filesystem::path const unfinished = unfinished_name(path);
-    file_descriptor opened(::open(unfinished.c_str(),
-                                  O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC,
-                                  private_file));
-    if (!opened.is_open())
+    std::filesystem::path const temporary = temporary_path(path);
+    file_descriptor descriptor(::open(temporary.c_str(),
+                                      O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC,
+                                      private_file_mode));
+    if (!descriptor.is_open())
     {
-        return system_error("Making", unfinished);
+        return system_error("Making", temporary);
     }
-    durable_file<> file(std::move(opened), unfinished.string());
+    durable_file<> file(std::move(descriptor), temporary.string());
     absl::Status written = file.append(content);
     if (!written.ok())
     {
-        remove_unfinished(path);
+        remove_temporary_file(path);
         return written;
     }
-    if (::rename(unfinished.c_str(), path.c_str()) != 0)
+    if (::rename(temporary.c_str(), path.c_str()) != 0)
     {
-        absl::Status failure = system_error("Renaming", unfinished);
-        remove_unfinished(path);
+        absl::Status failure = system_error("Renaming", temporary);
+        remove_temporary_file(path);
         return failure;
     }
     return absl::OkStatus();
 }
 
-void remove_unfinished(std::filesystem::path const& path)
+void remove_temporary_file(std::filesystem::path const& path)
 {
-    ::unlink(unfinished_name(path).c_str());
+    ::unlink(temporary_path(path).c_str());
 }
 
 absl::StatusOr<file_descriptor>
-open_to_append(std::filesystem::path const& path)
+open_for_append(std::filesystem::path const& path)
 {
-    file_descriptor opened(
+    file_descriptor descriptor(
         ::open(path.c_str(), O_WRONLY | O_APPEND | O_CLOEXEC));
-    if (!opened.is_open())
+    if (!descriptor.is_open())
     {
         return system_error("Opening", path);
     }
-    return opened;
+    return descriptor;
 }
 
 absl::StatusOr<file_descriptor> lock_file(std::filesystem::path const& path)
 {
-    file_descriptor opened(
-        ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, private_file));
-    if (!opened.is_open())
+    file_descriptor descriptor(
+        ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, private_file_mode));
+    if (!descriptor.is_open())
     {
         return system_error("Opening", path);
     }
-    if (::flock(opened.get(), LOCK_EX | LOCK_NB) != 0)
+    if (::flock(descriptor.get(), LOCK_EX | LOCK_NB) != 0)
     {
         if (errno != EWOULDBLOCK)
         {
@@ -167,7 +169,7 @@
                         path.string()),
             "Stop it, or give this process a data folder of its own.");
     }
-    return opened;
+    return descriptor;
 }
 
 } // namespace bilberrylead::store
--- a/bilberrylead/store/folder_files.hpp
+++ b/bilberrylead/store/folder_files.hpp
@@ -16,7 +16,7 @@
 {
 
 /// Makes the folder, durably, unless it exists.
-absl::Status make_folder(std::filesystem::path const& folder);
+absl::Status create_folder(std::filesystem::path const& folder);
 
 /// Makes the folder's list of names durable.
 absl::Status sync_folder(std::filesystem::path const& folder);
@@ -33,11 +33,11 @@
                           std::span<std::uint8_t const> content);
 
 /// Removes a file that an earlier replace_file left unfinished.
-void remove_unfinished(std::filesystem::path const& path);
+void remove_temporary_file(std::filesystem::path const& path);
 
 /// Opens a file to append to it.
 absl::StatusOr<file_descriptor>
-open_to_append(std::filesystem::path const& path);
+open_for_append(std::filesystem::path const& path);
 
 /// Opens and locks a file until the descriptor is closed; fails if another
 /// process (or this one, elsewhere) holds the lock.
--- a/bilberrylead/store/journal.cpp
+++ b/bilberrylead/store/journal.cpp
@@ -2,7 +2,7 @@
 
 #include "bilberrylead/core/error.hpp"
 #include "bilberrylead/core/log.hpp"
-#include "bilberrylead/store/checked_file.hpp"
+#include "bilberrylead/store/checksummed_file.hpp"
 #include "bilberrylead/store/folder_files.hpp"
 #include "bilberrylead/store/little_endian.hpp"
 #include "bilberrylead/store/recovery.hpp"
@@ -29,32 +29,32 @@
 std::uint64_t random_number()
 {
     std::random_device source;
-    std::uniform_int_distribution<std::uint64_t> any(1);
-    return any(source);
+    std::uniform_int_distribution<std::uint64_t> distribution(1);
+    return distribution(source);
 }
 
-absl::Status refused(std::string const& what)
+absl::Status invalid_call(std::string const& message)
 {
-    return make_error(error_kind::bad_value, what,
+    return make_error(error_kind::bad_value, message,
                       "This is a fault of the program; report it.");
 }
 
 } // namespace
 
 journal::journal(std::filesystem::path data_folder,
-                 journal_settings const& bounds)
-    : folder(std::move(data_folder)), settings(bounds)
+                 journal_settings const& initial_settings)
+    : folder(std::move(data_folder)), settings(initial_settings)
 {
-    assert(bounds.largest_record > 0);
+    assert(initial_settings.max_record_bytes > 0);
 }
 
 absl::StatusOr<journal> journal::open(std::filesystem::path const& folder,
                                       journal_settings const& settings)
 {
-    absl::Status made = make_folder(folder);
-    if (!made.ok())
+    absl::Status created = create_folder(folder);
+    if (!created.ok())
     {
-        return made;
+        return created;
     }
     journal opened(folder, settings);
     absl::StatusOr<file_descriptor> lock = lock_file(folder / lock_file_name);
@@ -77,35 +77,36 @@
     for (char const* name :
          {journal_file_name, snapshot_file_name, identity_file_name})
     {
-        remove_unfinished(this->folder / name);
+        remove_temporary_file(this->folder / name);
     }
     absl::StatusOr<folder_content> content = read_folder(this->folder);
     if (!content.ok())
     {
         return content.status();
     }
-    this->found = std::move(content->state);
-    bool const has_records = !this->found.entries.empty() ||
-                             this->found.state.has_value() ||
-                             this->found.snapshot.has_value();
-    if (this->found.cut_bytes > 0)
+    this->recovered_content = std::move(content->state);
+    bool const has_records = !this->recovered_content.entries.empty() ||
+                             this->recovered_content.state.has_value() ||
+                             this->recovered_content.snapshot.has_value();
+    if (this->recovered_content.discarded_bytes > 0)
     {
         log.warning("An unfinished write of {} bytes was cut off.",
-                    this->found.cut_bytes);
+                    this->recovered_content.discarded_bytes);
     }
     if (content->has_journal)
     {
-        absl::Status known = this->recover_identity(true, has_records);
-        return known.ok() ? this->rewrite(this->found) : known;
+        absl::Status identity = this->recover_identity(true, has_records);
+        return identity.ok() ? this->rewrite(this->recovered_content)
+                             : identity;
     }
     // The journal comes before the identity: whoever has an identity had a
     // journal, and without it may have forgotten its votes.
-    absl::Status known = this->recover_identity(false, has_records);
-    if (!known.ok())
+    absl::Status identity = this->recover_identity(false, has_records);
+    if (!identity.ok())
     {
-        return known;
+        return identity;
     }
-    absl::Status written = this->rewrite(this->found);
+    absl::Status written = this->rewrite(this->recovered_content);
     return written.ok() ? this->recover_identity(true, false) : written;
 }
 
@@ -121,8 +122,8 @@
         "Move the data folder away and let this host rejoin empty.";
     if (content->has_value())
     {
-        std::optional<checked_file> const identity =
-            decode_checked_file(file_purpose::identity, **content);
+        std::optional<checksummed_file> const identity =
+            decode_checksummed_file(file_purpose::identity, **content);
         if (!identity.has_value() || !has_journal)
         {
             return make_error(error_kind::corrupt,
@@ -144,23 +145,25 @@
         return absl::OkStatus();
     }
     this->incarnation_number = random_number();
-    absl::Status written =
-        replace_file(path, encode_checked_file(file_purpose::identity,
-                                               this->incarnation_number, {}));
+    absl::Status written = replace_file(
+        path, encode_checksummed_file(file_purpose::identity,
+                                      this->incarnation_number, {}));
     return written.ok() ? sync_folder(this->folder) : written;
 }
 
 absl::Status journal::rewrite(recovered_state const& content)
 {
     this->failed = true;
-    this->base = content.snapshot.has_value() ? content.snapshot->index : 0;
-    this->last =
-        content.entries.empty() ? this->base : content.entries.back().index;
+    this->base_index =
+        content.snapshot.has_value() ? content.snapshot->index : 0;
+    this->last_record_index = content.entries.empty()
+                                  ? this->base_index
+                                  : content.entries.back().index;
     this->salt = random_number();
     std::array<std::uint8_t, sizeof(this->salt)> salt_bytes{};
-    put_number(std::span<std::uint8_t>(salt_bytes), this->salt);
-    bytes output =
-        encode_checked_file(file_purpose::journal, this->base, salt_bytes);
+    write_little_endian(std::span<std::uint8_t>(salt_bytes), this->salt);
+    bytes output = encode_checksummed_file(file_purpose::journal,
+                                           this->base_index, salt_bytes);
 
     journal_batch batch;
     if (content.state.has_value())
@@ -172,11 +175,11 @@
         batch.add(journal_batch::record_kind::entry, entry.index,
                   entry.content);
     }
-    this->batches = batch.empty() ? 0 : 1;
+    this->batch_count = batch.empty() ? 0 : 1;
     if (!batch.empty())
     {
         std::span<std::uint8_t const> const frame =
-            batch.seal(this->salt, this->batches);
+            batch.seal(this->salt, this->batch_count);
         output.insert(output.end(), frame.begin(), frame.end());
     }
 
@@ -191,7 +194,7 @@
     {
         return synced;
     }
-    absl::StatusOr<file_descriptor> opened = open_to_append(path);
+    absl::StatusOr<file_descriptor> opened = open_for_append(path);
     if (!opened.ok())
     {
         return opened.status();
@@ -202,7 +205,7 @@
     return absl::OkStatus();
 }
 
-absl::Status journal::usable() const
+absl::Status journal::check_usable() const
 {
     if (!this->has_failed())
     {
@@ -216,71 +219,71 @@
 absl::Status journal::append(std::uint64_t index,
                              std::span<std::uint8_t const> content)
 {
-    absl::Status state = this->usable();
+    absl::Status state = this->check_usable();
     if (!state.ok())
     {
         return state;
     }
-    if (index <= this->base || index > this->last + 1)
+    if (index <= this->base_index || index > this->last_record_index + 1)
     {
-        return refused(
+        return invalid_call(
             fmt::format("Record {} can't follow snapshot {} and record {}.",
-                        index, this->base, this->last));
+                        index, this->base_index, this->last_record_index));
     }
-    if (content.size() > this->settings.largest_record)
+    if (content.size() > this->settings.max_record_bytes)
     {
         return make_error(error_kind::bad_value,
                           fmt::format("A record of {} bytes is larger than "
                                       "{}.",
                                       content.size(),
-                                      this->settings.largest_record),
+                                      this->settings.max_record_bytes),
                           "Split the change.");
     }
     this->pending.add(journal_batch::record_kind::entry, index, content);
-    this->last = index;
+    this->last_record_index = index;
     return absl::OkStatus();
 }
 
-absl::Status journal::drop_after(std::uint64_t index)
+absl::Status journal::truncate_after(std::uint64_t index)
 {
-    absl::Status state = this->usable();
+    absl::Status state = this->check_usable();
     if (!state.ok())
     {
         return state;
     }
-    if (index < this->base)
+    if (index < this->base_index)
     {
-        return refused(fmt::format("Record {} is covered by snapshot {}.",
-                                   index, this->base));
+        return invalid_call(fmt::format("Record {} is covered by snapshot {}.",
+                                        index, this->base_index));
     }
-    this->pending.add(journal_batch::record_kind::cut, index, {});
-    this->last = std::min(this->last, index);
+    this->pending.add(journal_batch::record_kind::truncate, index, {});
+    this->last_record_index = std::min(this->last_record_index, index);
     return absl::OkStatus();
 }
 
 absl::Status journal::set_state(std::span<std::uint8_t const> state)
 {
-    absl::Status may_write = this->usable();
-    if (may_write.ok())
+    absl::Status usable = this->check_usable();
+    if (usable.ok())
     {
         this->pending.add(journal_batch::record_kind::state, 0, state);
     }
-    return may_write;
+    return usable;
 }
 
 absl::Status journal::sync()
 {
-    absl::Status state = this->usable();
+    absl::Status state = this->check_usable();
     if (!state.ok() || this->pending.empty())
     {
         return state;
     }
     std::span<std::uint8_t const> const frame =
-        this->pending.seal(this->salt, this->batches + 1);
+        this->pending.seal(this->salt, this->batch_count + 1);
     absl::Status written = this->file.append(frame);
     if (written.ok())
     {
-        ++this->batches;
+        ++this->batch_count;
         this->written_bytes += frame.size();
         this->pending.clear();
     }
@@ -295,21 +298,21 @@
     {
         return synced;
     }
-    if (index <= this->base)
+    if (index <= this->base_index)
     {
-        return refused(fmt::format("Snapshot {} is not newer than {}.", index,
-                                   this->base));
+        return invalid_call(fmt::format("Snapshot {} is not newer than {}.",
+                                        index, this->base_index));
     }
 
     // Read back first: an unreadable journal must not lose its snapshot.
-    absl::StatusOr<folder_content> held = read_folder(this->folder);
-    if (!held.ok())
+    absl::StatusOr<folder_content> on_disk = read_folder(this->folder);
+    if (!on_disk.ok())
     {
-        return held.status();
+        return on_disk.status();
     }
     std::filesystem::path const path = this->folder / snapshot_file_name;
     absl::Status replaced = replace_file(
-        path, encode_checked_file(file_purpose::snapshot, index, content));
+        path, encode_checksummed_file(file_purpose::snapshot, index, content));
     if (!replaced.ok())
     {
         return replaced;
@@ -322,19 +325,19 @@
     {
         return renamed;
     }
-    recovered_state& kept = held->state;
-    std::erase_if(kept.entries,
+    recovered_state& remaining = on_disk->state;
+    std::erase_if(remaining.entries,
                   [index](journal_entry const& entry)
                   {
                       return entry.index <= index;
                   });
-    kept.snapshot = journal_entry{index, {}};
-    return this->rewrite(kept);
+    remaining.snapshot = journal_entry{index, {}};
+    return this->rewrite(remaining);
 }
 
 recovered_state& journal::recovered()
 {
-    return this->found;
+    return this->recovered_content;
 }
 
 std::uint64_t journal::incarnation() const
@@ -344,12 +347,12 @@
 
 std::uint64_t journal::last_index() const
 {
-    return this->last;
+    return this->last_record_index;
 }
 
 std::uint64_t journal::snapshot_index() const
 {
-    return this->base;
+    return this->base_index;
 }
 
 std::uint64_t journal::file_bytes() const
--- a/bilberrylead/store/journal.hpp
+++ b/bilberrylead/store/journal.hpp
@@ -50,7 +50,7 @@
     absl::Status append(std::uint64_t index,
                         std::span<std::uint8_t const> content);
     /// Drops all records after `index`.
-    absl::Status drop_after(std::uint64_t index);
+    absl::Status truncate_after(std::uint64_t index);
     /// Replaces the state blob.
     absl::Status set_state(std::span<std::uint8_t const> state);
     /// Makes everything since the last sync durable, with one write and one
@@ -78,24 +78,25 @@
     bool has_failed() const;
 
 private:
-    journal(std::filesystem::path data_folder, journal_settings const& bounds);
+    journal(std::filesystem::path data_folder,
+            journal_settings const& initial_settings);
     absl::Status recover();
     absl::Status recover_identity(bool has_journal, bool has_records);
     absl::Status rewrite(recovered_state const& content);
-    absl::Status usable() const;
+    absl::Status check_usable() const;
 
     std::filesystem::path folder;
     journal_settings settings;
     file_descriptor lock;
     durable_file<> file;
     journal_batch pending;
-    recovered_state found;
+    recovered_state recovered_content;
     std::uint64_t incarnation_number = 0;
     std::uint64_t salt = 0;
-    std::uint64_t batches = 0;
+    std::uint64_t batch_count = 0;
     std::uint64_t written_bytes = 0;
-    std::uint64_t last = 0;
-    std::uint64_t base = 0;
+    std::uint64_t last_record_index = 0;
+    std::uint64_t base_index = 0;
     bool failed = false;
 };
 
--- a/bilberrylead/store/journal_batch.cpp
+++ b/bilberrylead/store/journal_batch.cpp
@@ -15,56 +15,59 @@
 namespace
 {
 
-constexpr std::uint32_t batch_mark = 0x68426c42;
-constexpr std::size_t sequence_at = 4;
-constexpr std::size_t length_at = 12;
-constexpr std::size_t payload_checksum_at = 20;
-constexpr std::size_t head_checksum_at = 28;
-constexpr std::size_t head_size = 36;
+constexpr std::uint32_t batch_magic = 0x68426c42;
+constexpr std::size_t sequence_offset = 4;
+constexpr std::size_t length_offset = 12;
+constexpr std::size_t payload_checksum_offset = 20;
+constexpr std::size_t header_checksum_offset = 28;
+constexpr std::size_t header_size = 36;
 
-constexpr std::size_t record_index_at = 1;
-constexpr std::size_t record_length_at = 9;
-constexpr std::size_t record_head_size = 17;
+constexpr std::size_t record_index_offset = 1;
+constexpr std::size_t record_length_offset = 9;
+constexpr std::size_t record_header_size = 17;
 
 /// The head of a frame.
-struct batch_head
+struct batch_header
 {
     std::uint64_t sequence = 0;
     std::uint64_t length = 0;
     std::uint64_t payload_checksum = 0;
 };
 
-std::optional<batch_head> read_head(std::uint64_t salt,
-                                    std::span<std::uint8_t const> input)
+std::optional<batch_header> read_header(std::uint64_t salt,
+                                        std::span<std::uint8_t const> input)
 {
-    if (input.size() < head_size ||
-        get_number<std::uint32_t>(input) != batch_mark ||
-        get_number<std::uint64_t>(input.subspan(head_checksum_at)) !=
-            XXH64(input.data(), head_checksum_at, salt))
+    if (input.size() < header_size ||
+        read_little_endian<std::uint32_t>(input) != batch_magic ||
+        read_little_endian<std::uint64_t>(
+            input.subspan(header_checksum_offset)) !=
+            XXH64(input.data(), header_checksum_offset, salt))
     {
         return std::nullopt;
     }
-    return batch_head{
-        get_number<std::uint64_t>(input.subspan(sequence_at)),
-        get_number<std::uint64_t>(input.subspan(length_at)),
-        get_number<std::uint64_t>(input.subspan(payload_checksum_at))};
+    return batch_header{
+        read_little_endian<std::uint64_t>(input.subspan(sequence_offset)),
+        read_little_endian<std::uint64_t>(input.subspan(length_offset)),
+        read_little_endian<std::uint64_t>(
+            input.subspan(payload_checksum_offset))};
 }
 
 /// True if a frame's head stands anywhere in `input`. The salt keeps out
 /// bytes of older files and of records that look like a head.
-bool holds_head(std::uint64_t salt, std::span<std::uint8_t const> input)
+bool contains_header(std::uint64_t salt, std::span<std::uint8_t const> input)
 {
-    std::array<std::uint8_t, sizeof(batch_mark)> mark{};
-    put_number(std::span<std::uint8_t>(mark), batch_mark);
+    std::array<std::uint8_t, sizeof(batch_magic)> magic{};
+    write_little_endian(std::span<std::uint8_t>(magic), batch_magic);
     auto position = input.begin();
     while (true)
     {
-        position = std::search(position, input.end(), mark.begin(), mark.end());
+        position =
+            std::search(position, input.end(), magic.begin(), magic.end());
         if (position == input.end())
         {
             return false;
         }
-        if (read_head(salt, {position, input.end()}).has_value())
+        if (read_header(salt, {position, input.end()}).has_value())
         {
             return true;
         }
@@ -72,7 +75,7 @@
     }
 }
 
-absl::Status damaged_middle()
+absl::Status corrupted_before_end()
 {
     return make_error(
         error_kind::corrupt,
@@ -86,69 +89,71 @@
 {
     while (!payload.empty())
     {
-        if (payload.size() < record_head_size)
+        if (payload.size() < record_header_size)
         {
             return false;
         }
-        std::uint64_t const length =
-            get_number<std::uint64_t>(payload.subspan(record_length_at));
+        std::uint64_t const length = read_little_endian<std::uint64_t>(
+            payload.subspan(record_length_offset));
         std::uint8_t const kind = payload[0];
-        if (length > payload.size() - record_head_size || kind < 1 || kind > 3)
+        if (length > payload.size() - record_header_size || kind < 1 ||
+            kind > 3)
         {
             return false;
         }
-        records.push_back(
-            {static_cast<journal_batch::record_kind>(kind),
-             get_number<std::uint64_t>(payload.subspan(record_index_at)),
-             payload.subspan(record_head_size, length)});
-        payload = payload.subspan(record_head_size + length);
+        records.push_back({static_cast<journal_batch::record_kind>(kind),
+                           read_little_endian<std::uint64_t>(
+                               payload.subspan(record_index_offset)),
+                           payload.subspan(record_header_size, length)});
+        payload = payload.subspan(record_header_size + length);
     }
     return true;
 }
 
 } // namespace
 
-journal_batch::journal_batch() : frame(head_size)
+journal_batch::journal_batch() : frame(header_size)
 {
 }
 
 void journal_batch::add(record_kind kind, std::uint64_t index,
                         std::span<std::uint8_t const> content)
 {
-    std::array<std::uint8_t, record_head_size> head{};
-    std::span<std::uint8_t> const output(head);
-    head[0] = static_cast<std::uint8_t>(kind);
-    put_number(output.subspan(record_index_at), index);
-    put_number(output.subspan(record_length_at), std::uint64_t{content.size()});
-    this->frame.insert(this->frame.end(), head.begin(), head.end());
+    std::array<std::uint8_t, record_header_size> header{};
+    std::span<std::uint8_t> const output(header);
+    header[0] = static_cast<std::uint8_t>(kind);
+    write_little_endian(output.subspan(record_index_offset), index);
+    write_little_endian(output.subspan(record_length_offset),
+                        std::uint64_t{content.size()});
+    this->frame.insert(this->frame.end(), header.begin(), header.end());
     this->frame.insert(this->frame.end(), content.begin(), content.end());
 }
 
 bool journal_batch::empty() const
 {
-    return this->frame.size() == head_size;
+    return this->frame.size() == header_size;
 }
 
 std::span<std::uint8_t const> journal_batch::seal(std::uint64_t salt,
                                                   std::uint64_t sequence)
 {
     std::span<std::uint8_t> const output(this->frame);
-    std::uint64_t const length = this->frame.size() - head_size;
-    put_number(output, batch_mark);
-    put_number(output.subspan(sequence_at), sequence);
-    put_number(output.subspan(length_at), length);
-    put_number(
-        output.subspan(payload_checksum_at),
-        std::uint64_t{XXH64(this->frame.data() + head_size, length, sequence)});
-    put_number(
-        output.subspan(head_checksum_at),
-        std::uint64_t{XXH64(this->frame.data(), head_checksum_at, salt)});
+    std::uint64_t const length = this->frame.size() - header_size;
+    write_little_endian(output, batch_magic);
+    write_little_endian(output.subspan(sequence_offset), sequence);
+    write_little_endian(output.subspan(length_offset), length);
+    write_little_endian(output.subspan(payload_checksum_offset),
+                        std::uint64_t{XXH64(this->frame.data() + header_size,
+                                            length, sequence)});
+    write_little_endian(
+        output.subspan(header_checksum_offset),
+        std::uint64_t{XXH64(this->frame.data(), header_checksum_offset, salt)});
     return this->frame;
 }
 
 void journal_batch::clear()
 {
-    this->frame.resize(head_size);
+    this->frame.resize(header_size);
 }
 
 absl::StatusOr<batch_scan> scan_batches(std::uint64_t salt,
@@ -157,46 +162,46 @@
     batch_scan scan;
     while (!input.empty())
     {
-        std::optional<batch_head> const head = read_head(salt, input);
-        if (!head.has_value())
+        std::optional<batch_header> const header = read_header(salt, input);
+        if (!header.has_value())
         {
             // The head itself is lost. Unless a later batch was begun, this
             // one was never acknowledged.
-            if (holds_head(salt, input.subspan(1)))
+            if (contains_header(salt, input.subspan(1)))
             {
-                return damaged_middle();
+                return corrupted_before_end();
             }
             break;
         }
-        std::uint64_t const available = input.size() - head_size;
-        if (head->sequence != scan.batches + 1)
+        std::uint64_t const available = input.size() - header_size;
+        if (header->sequence != scan.batch_count + 1)
         {
-            return damaged_middle();
+            return corrupted_before_end();
         }
-        if (head->length > available)
+        if (header->length > available)
         {
             break;
         }
         std::span<std::uint8_t const> const payload =
-            input.subspan(head_size, head->length);
-        if (XXH64(payload.data(), payload.size(), head->sequence) !=
-            head->payload_checksum)
+            input.subspan(header_size, header->length);
+        if (XXH64(payload.data(), payload.size(), header->sequence) !=
+            header->payload_checksum)
         {
             // Bytes after a batch were written once it was durable.
-            if (head->length < available)
+            if (header->length < available)
             {
-                return damaged_middle();
+                return corrupted_before_end();
             }
             break;
         }
         if (!read_records(payload, scan.records))
         {
-            return damaged_middle();
+            return corrupted_before_end();
         }
-        ++scan.batches;
-        input = input.subspan(head_size + head->length);
+        ++scan.batch_count;
+        input = input.subspan(header_size + header->length);
     }
-    scan.cut_bytes = input.size();
+    scan.discarded_bytes = input.size();
     return scan;
 }
 
--- a/bilberrylead/store/journal_batch.hpp
+++ b/bilberrylead/store/journal_batch.hpp
@@ -31,7 +31,7 @@
         /// The state blob; replaces the one before.
         state = 2,
         /// Drops all log records after its index.
-        cut = 3,
+        truncate = 3,
     };
 
     /// Adds a record.
@@ -68,9 +68,9 @@
     /// Records of all whole batches, in order.
     std::vector<journal_record> records;
     /// Batches they came from.
-    std::uint64_t batches = 0;
+    std::uint64_t batch_count = 0;
     /// Bytes after the last whole batch: an unfinished write.
-    std::uint64_t cut_bytes = 0;
+    std::uint64_t discarded_bytes = 0;
 };
 
 /// Reads the batches of a journal. An unfinished last batch is left out; a
--- a/bilberrylead/store/journal_settings.hpp
+++ b/bilberrylead/store/journal_settings.hpp
@@ -11,7 +11,7 @@
 {
     /// Largest record that is taken, bytes, over 0. A configuration travels
     /// as one record; one above this would also stall every heartbeat.
-    std::size_t largest_record = std::size_t{64} << 20U;
+    std::size_t max_record_bytes = std::size_t{64} << 20U;
 };
 
 } // namespace bilberrylead::store
--- a/bilberrylead/store/little_endian.hpp
+++ b/bilberrylead/store/little_endian.hpp
@@ -11,7 +11,7 @@
 
 /// Writes `value` at the start of `output`, lowest byte first.
 template <std::unsigned_integral Number>
-void put_number(std::span<std::uint8_t> output, Number value)
+void write_little_endian(std::span<std::uint8_t> output, Number value)
 {
     for (std::size_t i = 0; i < sizeof(Number); ++i)
     {
@@ -21,7 +21,7 @@
 
 /// Reads the number that put_number wrote at the start of `input`.
 template <std::unsigned_integral Number>
-Number get_number(std::span<std::uint8_t const> input)
+Number read_little_endian(std::span<std::uint8_t const> input)
 {
     Number value = 0;
     for (std::size_t i = 0; i < sizeof(Number); ++i)
--- a/bilberrylead/store/recovered_state.hpp
+++ b/bilberrylead/store/recovered_state.hpp
@@ -21,7 +21,7 @@
     /// Records after the snapshot, without a gap.
     std::vector<journal_entry> entries;
     /// Bytes of an unfinished write that were cut off.
-    std::uint64_t cut_bytes = 0;
+    std::uint64_t discarded_bytes = 0;
 };
 
 } // namespace bilberrylead::store
--- a/bilberrylead/store/recovery.cpp
+++ b/bilberrylead/store/recovery.cpp
@@ -1,7 +1,7 @@
 #include "bilberrylead/store/recovery.hpp"
 
 #include "bilberrylead/core/error.hpp"
-#include "bilberrylead/store/checked_file.hpp"
+#include "bilberrylead/store/checksummed_file.hpp"
 #include "bilberrylead/store/folder_files.hpp"
 #include "bilberrylead/store/journal_batch.hpp"
 #include "bilberrylead/store/little_endian.hpp"
@@ -17,11 +17,12 @@
 namespace
 {
 
-absl::Status corrupt(std::string_view what, std::filesystem::path const& folder)
+absl::Status corrupt(std::string_view damage,
+                     std::filesystem::path const& folder)
 {
     return make_error(
         error_kind::corrupt,
-        fmt::format("{} (data folder {}).", what, folder.string()),
+        fmt::format("{} (data folder {}).", damage, folder.string()),
         "Move the data folder away and let this host rejoin empty.");
 }
 
@@ -34,8 +35,8 @@
     {
         return content.status();
     }
-    std::optional<checked_file> snapshot =
-        decode_checked_file(file_purpose::snapshot, **content);
+    std::optional<checksummed_file> snapshot =
+        decode_checksummed_file(file_purpose::snapshot, **content);
     if (!snapshot.has_value())
     {
         return corrupt("The snapshot is damaged", folder);
@@ -54,7 +55,7 @@
     case journal_batch::record_kind::state:
         state.state = bytes(record.content.begin(), record.content.end());
         return true;
-    case journal_batch::record_kind::cut:
+    case journal_batch::record_kind::truncate:
         while (!state.entries.empty() &&
                state.entries.back().index > record.index)
         {
@@ -103,22 +104,22 @@
     }
     result.has_journal = true;
     std::span<std::uint8_t const> const file(**content);
-    std::optional<checked_file> const head =
-        decode_checked_file(file_purpose::journal, file);
-    if (!head.has_value() || head->content.size() != sizeof(std::uint64_t))
+    std::optional<checksummed_file> const header =
+        decode_checksummed_file(file_purpose::journal, file);
+    if (!header.has_value() || header->content.size() != sizeof(std::uint64_t))
     {
         return corrupt("The head of the journal is damaged", folder);
     }
     std::uint64_t const snapshot_index =
         result.state.snapshot.has_value() ? result.state.snapshot->index : 0;
-    if (snapshot_index < head->number)
+    if (snapshot_index < header->number)
     {
         return corrupt("The snapshot that the journal builds on is missing",
                        folder);
     }
-    absl::StatusOr<batch_scan> const scan =
-        scan_batches(get_number<std::uint64_t>(head->content),
-                     file.subspan(checked_file_head + head->content.size()));
+    absl::StatusOr<batch_scan> const scan = scan_batches(
+        read_little_endian<std::uint64_t>(header->content),
+        file.subspan(checksummed_file_header_size + header->content.size()));
     if (!scan.ok())
     {
         return scan.status();
@@ -130,7 +131,7 @@
             return corrupt("The journal has a gap", folder);
         }
     }
-    result.state.cut_bytes = scan->cut_bytes;
+    result.state.discarded_bytes = scan->discarded_bytes;
     return result;
 }
 
--- a/tests/unit/daemon/control_store_test.cpp
+++ b/tests/unit/daemon/control_store_test.cpp
@@ -33,8 +33,8 @@
     effect.from_index = first;
     for (std::uint64_t index = first; index <= last; ++index)
     {
-        effect.entries.push_back(
-            {term, index, agreement::entry_kind::command, content_of(index)});
+        effect.entries.push_back({term, index, agreement::entry_kind::command,
+                                  record_content(index)});
     }
     return effect;
 }
--- a/tests/unit/store/journal_crash_test.cpp
+++ b/tests/unit/store/journal_crash_test.cpp
@@ -1,7 +1,7 @@
 #include "bilberrylead/store/journal.hpp"
 
 #include "bilberrylead/core/error.hpp"
-#include "bilberrylead/store/checked_file.hpp"
+#include "bilberrylead/store/checksummed_file.hpp"
 #include "bilberrylead/store/folder_files.hpp"
 #include "tests/unit/store/journal_fixture.hpp"
 
@@ -24,28 +24,28 @@
     temporary_folder folder;
     bytes content;
     /// Where the first batch starts.
-    std::size_t first_start = 0;
+    std::size_t first_batch_offset = 0;
     /// Where the second batch starts.
-    std::size_t second_start = 0;
+    std::size_t second_batch_offset = 0;
 
     crashed_journal()
     {
         journal written = open_journal(this->folder);
-        this->first_start = written.file_bytes();
-        append_synced(written, 1, 3);
-        this->second_start = written.file_bytes();
-        append_synced(written, 4, 6);
+        this->first_batch_offset = written.file_bytes();
+        append_and_sync(written, 1, 3);
+        this->second_batch_offset = written.file_bytes();
+        append_and_sync(written, 4, 6);
         this->content = read_all(this->folder.file("journal"));
         cr_assert_eq(this->content.size(), written.file_bytes());
     }
 
     /// Leaves `damaged` as what the disk holds.
-    void leave(bytes const& damaged) const
+    void write_journal(bytes const& damaged) const
     {
         write_all(this->folder.file("journal"), damaged);
     }
 
-    bool is_refused() const
+    bool reports_corruption() const
     {
         return kind_of(journal::open(this->folder.data()).status()) ==
                error_kind::corrupt;
@@ -53,15 +53,16 @@
 };
 
 /// Leaves a folder with four records, the first of them in a snapshot.
-void leave_snapshot(temporary_folder const& folder, std::uint64_t covered)
+void create_journal_with_snapshot(temporary_folder const& folder,
+                                  std::uint64_t covered)
 {
     journal written = open_journal(folder);
-    append_synced(written, 1, 4);
+    append_and_sync(written, 1, 4);
     cr_assert(written.install_snapshot(covered, to_bytes("snapshot")).ok());
 }
 
 /// Removes a file or flips a bit of it.
-void spoil(std::filesystem::path const& path, bool removed)
+void remove_or_corrupt(std::filesystem::path const& path, bool removed)
 {
     if (removed)
     {
@@ -82,20 +83,20 @@
 Test(journal, last_batch_when_torn_at_any_byte_recovers_to_the_one_before)
 {
     crashed_journal const crashed;
-    for (std::size_t size = crashed.second_start;
+    for (std::size_t size = crashed.second_batch_offset;
          size <= crashed.content.size(); ++size)
     {
-        crashed.leave(
+        crashed.write_journal(
             {crashed.content.begin(),
              crashed.content.begin() + static_cast<std::ptrdiff_t>(size)});
         std::uint64_t const last = size == crashed.content.size() ? 6 : 3;
         {
             journal recovered = open_journal(crashed.folder);
-            cr_assert(recovered.recovered().entries == entries_of(1, last));
-            append_synced(recovered, last + 1, last + 1);
+            cr_assert(recovered.recovered().entries == make_entries(1, last));
+            append_and_sync(recovered, last + 1, last + 1);
         }
         cr_assert(open_journal(crashed.folder).recovered().entries ==
-                  entries_of(1, last + 1));
+                  make_entries(1, last + 1));
     }
 }
 
@@ -105,15 +106,15 @@
 Test(journal, last_batch_when_any_byte_of_it_is_lost_recovers_before_it)
 {
     crashed_journal const crashed;
-    for (std::size_t lost = crashed.second_start; lost < crashed.content.size();
-         ++lost)
+    for (std::size_t position = crashed.second_batch_offset;
+         position < crashed.content.size(); ++position)
     {
         bytes damaged = crashed.content;
-        damaged.at(lost) ^= 0xFFU;
-        crashed.leave(damaged);
+        damaged.at(position) ^= 0xFFU;
+        crashed.write_journal(damaged);
         journal recovered = open_journal(crashed.folder);
-        cr_assert(recovered.recovered().entries == entries_of(1, 3), "byte %zu",
-                  lost);
+        cr_assert(recovered.recovered().entries == make_entries(1, 3),
+                  "byte %zu", position);
     }
 }
 
@@ -123,12 +124,13 @@
 Test(journal, middle_when_any_byte_is_damaged_is_refused)
 {
     crashed_journal const crashed;
-    for (std::size_t bad = 0; bad < crashed.second_start; ++bad)
+    for (std::size_t position = 0; position < crashed.second_batch_offset;
+         ++position)
     {
         bytes damaged = crashed.content;
-        damaged.at(bad) ^= 0x10U;
-        crashed.leave(damaged);
-        cr_assert(crashed.is_refused(), "byte %zu", bad);
+        damaged.at(position) ^= 0x10U;
+        crashed.write_journal(damaged);
+        cr_assert(crashed.reports_corruption(), "byte %zu", position);
     }
 }
 
@@ -136,20 +138,22 @@
 Test(journal, middle_when_cut_out_or_zeroed_is_refused)
 {
     crashed_journal const crashed;
-    bytes cut_out = crashed.content;
-    cut_out.erase(
-        cut_out.begin() + static_cast<std::ptrdiff_t>(crashed.first_start),
-        cut_out.begin() + static_cast<std::ptrdiff_t>(crashed.second_start));
-    crashed.leave(cut_out);
-    cr_assert(crashed.is_refused());
+    bytes shortened = crashed.content;
+    shortened.erase(shortened.begin() +
+                        static_cast<std::ptrdiff_t>(crashed.first_batch_offset),
+                    shortened.begin() + static_cast<std::ptrdiff_t>(
+                                            crashed.second_batch_offset));
+    crashed.write_journal(shortened);
+    cr_assert(crashed.reports_corruption());
 
     bytes zeroed = crashed.content;
-    std::fill(zeroed.begin() + static_cast<std::ptrdiff_t>(crashed.first_start),
+    std::fill(zeroed.begin() +
+                  static_cast<std::ptrdiff_t>(crashed.first_batch_offset),
               zeroed.begin() +
-                  static_cast<std::ptrdiff_t>(crashed.second_start),
+                  static_cast<std::ptrdiff_t>(crashed.second_batch_offset),
               std::uint8_t{0});
-    crashed.leave(zeroed);
-    cr_assert(crashed.is_refused());
+    crashed.write_journal(zeroed);
+    cr_assert(crashed.reports_corruption());
 }
 
 // A whole batch vanishes that held nothing but a vote: the records around it
@@ -161,12 +165,12 @@
     std::size_t end = 0;
     {
         journal written = open_journal(folder);
-        append_synced(written, 1, 3);
+        append_and_sync(written, 1, 3);
         start = written.file_bytes();
         cr_assert(written.set_state(to_bytes("voted for a")).ok());
         cr_assert(written.sync().ok());
         end = written.file_bytes();
-        append_synced(written, 4, 4);
+        append_and_sync(written, 4, 4);
     }
     bytes content = read_all(folder.file("journal"));
     content.erase(content.begin() + static_cast<std::ptrdiff_t>(start),
@@ -183,32 +187,32 @@
     temporary_folder const folder;
     {
         journal written = open_journal(folder);
-        append_synced(written, 1, 4);
+        append_and_sync(written, 1, 4);
     }
     write_all(folder.file("snapshot.tmp"), to_bytes("half a snap"));
     write_all(folder.file("journal.tmp"), to_bytes("half a journal"));
     journal recovered = open_journal(folder);
     cr_assert_not(recovered.recovered().snapshot.has_value());
-    cr_assert(recovered.recovered().entries == entries_of(1, 4));
+    cr_assert(recovered.recovered().entries == make_entries(1, 4));
     cr_assert_not(std::filesystem::exists(folder.file("snapshot.tmp")));
     cr_assert_not(std::filesystem::exists(folder.file("journal.tmp")));
 }
 
 // The process dies after the snapshot was renamed and before the journal
 // dropped what it covers. Covered records are skipped, later ones stay.
-Test(journal, snapshot_without_shortened_journal_when_opened_takes_both)
+Test(journal, snapshot_without_truncated_journal_when_opened_reads_both)
 {
     temporary_folder const folder;
     {
         journal written = open_journal(folder);
-        append_synced(written, 1, 6);
+        append_and_sync(written, 1, 6);
     }
     write_all(folder.file("snapshot"),
-              store::encode_checked_file(store::file_purpose::snapshot, 4,
-                                         to_bytes("to 4")));
+              store::encode_checksummed_file(store::file_purpose::snapshot, 4,
+                                             to_bytes("to 4")));
     journal recovered = open_journal(folder);
     cr_assert_eq(recovered.recovered().snapshot->index, 4);
-    cr_assert(recovered.recovered().entries == entries_of(5, 6));
+    cr_assert(recovered.recovered().entries == make_entries(5, 6));
     cr_assert_eq(recovered.snapshot_index(), 4);
 }
 
@@ -222,8 +226,8 @@
     bytes dropped;
     {
         journal written = open_journal(folder);
-        append_synced(written, 1, 9);
-        cr_assert(written.drop_after(6).ok());
+        append_and_sync(written, 1, 9);
+        cr_assert(written.truncate_after(6).ok());
         cr_assert(written.sync().ok());
         dropped = read_all(folder.file("journal"));
         cr_assert(written.install_snapshot(6, to_bytes("to 6")).ok());
@@ -236,7 +240,7 @@
     }
     write_all(folder.file("journal"), dropped);
     std::filesystem::remove(folder.file("snapshot"));
-    cr_assert(open_journal(folder).recovered().entries == entries_of(1, 6));
+    cr_assert(open_journal(folder).recovered().entries == make_entries(1, 6));
 }
 
 // Files vanish or are damaged one by one under a host that had records.
@@ -252,8 +256,8 @@
             for (std::uint64_t const covered : {3U, 4U})
             {
                 temporary_folder const folder;
-                leave_snapshot(folder, covered);
-                spoil(folder.file(name), removed);
+                create_journal_with_snapshot(folder, covered);
+                remove_or_corrupt(folder.file(name), removed);
                 absl::StatusOr<journal> const opened =
                     journal::open(folder.data());
                 cr_assert(kind_of(opened.status()) == error_kind::corrupt,
@@ -268,7 +272,7 @@
 
 // The first start dies between the journal and the identity: there was
 // nothing to lose, the next start makes the identity.
-Test(journal, first_start_when_it_died_before_the_identity_starts_anew)
+Test(journal, first_start_when_crashed_before_the_identity_creates_it)
 {
     temporary_folder const folder;
     static_cast<void>(open_journal(folder));
--- a/tests/unit/store/journal_fixture.hpp
+++ b/tests/unit/store/journal_fixture.hpp
@@ -25,7 +25,7 @@
     return {text.begin(), text.end()};
 }
 
-inline bytes content_of(std::uint64_t index)
+inline bytes record_content(std::uint64_t index)
 {
     return to_bytes("record " + std::to_string(index));
 }
@@ -86,23 +86,23 @@
     return *std::move(opened);
 }
 
-inline void append_synced(store::journal& journal, std::uint64_t first,
-                          std::uint64_t last)
+inline void append_and_sync(store::journal& journal, std::uint64_t first,
+                            std::uint64_t last)
 {
     for (std::uint64_t index = first; index <= last; ++index)
     {
-        cr_assert(journal.append(index, content_of(index)).ok());
+        cr_assert(journal.append(index, record_content(index)).ok());
     }
     cr_assert(journal.sync().ok());
 }
 
-inline std::vector<store::journal_entry> entries_of(std::uint64_t first,
-                                                    std::uint64_t last)
+inline std::vector<store::journal_entry> make_entries(std::uint64_t first,
+                                                      std::uint64_t last)
 {
     std::vector<store::journal_entry> entries;
     for (std::uint64_t index = first; index <= last; ++index)
     {
-        entries.push_back({index, content_of(index)});
+        entries.push_back({index, record_content(index)});
     }
     return entries;
 }
--- a/tests/unit/store/journal_full_disk_test.cpp
+++ b/tests/unit/store/journal_full_disk_test.cpp
@@ -30,17 +30,17 @@
 }
 
 /// A disk whose next sync fails, and whose syncs after that "succeed".
-struct forgetful_disk
+struct failing_file_calls
 {
     static inline bool next_sync_fails = false;
-    static inline std::size_t largest_write = 0;
+    static inline std::size_t max_write_bytes = 0;
     static inline std::size_t written = 0;
 
     static ssize_t write(int, std::span<std::uint8_t const> data)
     {
-        std::size_t const taken = std::min(data.size(), largest_write);
-        written += taken;
-        return static_cast<ssize_t>(taken);
+        std::size_t const accepted = std::min(data.size(), max_write_bytes);
+        written += accepted;
+        return static_cast<ssize_t>(accepted);
     }
 
     static int sync(int)
@@ -63,23 +63,23 @@
 {
     temporary_folder const folder;
     {
-        journal filling = open_journal(folder);
-        append_synced(filling, 1, 3);
-        limit_file_size(filling.file_bytes() + 20);
-        cr_assert(filling.append(4, content_of(4)).ok());
-        cr_assert(kind_of(filling.sync()) == error_kind::storage);
-        cr_assert(filling.has_failed());
+        journal original = open_journal(folder);
+        append_and_sync(original, 1, 3);
+        limit_file_size(original.file_bytes() + 20);
+        cr_assert(original.append(4, record_content(4)).ok());
+        cr_assert(kind_of(original.sync()) == error_kind::storage);
+        cr_assert(original.has_failed());
 
         limit_file_size(RLIM_INFINITY);
-        cr_assert(kind_of(filling.sync()) == error_kind::storage);
-        cr_assert(kind_of(filling.append(5, {})) == error_kind::storage);
-        cr_assert(kind_of(filling.set_state({})) == error_kind::storage);
-        cr_assert(kind_of(filling.install_snapshot(3, {})) ==
+        cr_assert(kind_of(original.sync()) == error_kind::storage);
+        cr_assert(kind_of(original.append(5, {})) == error_kind::storage);
+        cr_assert(kind_of(original.set_state({})) == error_kind::storage);
+        cr_assert(kind_of(original.install_snapshot(3, {})) ==
                   error_kind::storage);
     }
-    journal again = open_journal(folder);
-    cr_assert(again.recovered().entries == entries_of(1, 3));
-    append_synced(again, 4, 4);
+    journal reopened = open_journal(folder);
+    cr_assert(reopened.recovered().entries == make_entries(1, 3));
+    append_and_sync(reopened, 4, 4);
 }
 
 // There is no room for a snapshot. It leaves no trace, and the journal goes
@@ -88,38 +88,38 @@
 {
     temporary_folder const folder;
     {
-        journal filling = open_journal(folder);
-        append_synced(filling, 1, 3);
+        journal original = open_journal(folder);
+        append_and_sync(original, 1, 3);
         limit_file_size(4096);
-        cr_assert(kind_of(filling.install_snapshot(2, bytes(5000))) ==
+        cr_assert(kind_of(original.install_snapshot(2, bytes(5000))) ==
                   error_kind::storage);
-        cr_assert_not(filling.has_failed());
-        append_synced(filling, 4, 4);
+        cr_assert_not(original.has_failed());
+        append_and_sync(original, 4, 4);
     }
-    journal again = open_journal(folder);
-    cr_assert_not(again.recovered().snapshot.has_value());
-    cr_assert(again.recovered().entries == entries_of(1, 4));
+    journal reopened = open_journal(folder);
+    cr_assert_not(reopened.recovered().snapshot.has_value());
+    cr_assert(reopened.recovered().entries == make_entries(1, 4));
 }
 
 // A sync fails; the kernel drops the pages and the next sync reports
 // success. Believed, an accepted change would be gone after a power loss.
-Test(durable_file, failed_sync_when_repeated_is_never_believed)
+Test(durable_file, failed_sync_when_next_sync_succeeds_stays_failed)
 {
-    forgetful_disk::largest_write = 100;
-    durable_file<forgetful_disk> file(file_descriptor(), "journal");
+    failing_file_calls::max_write_bytes = 100;
+    durable_file<failing_file_calls> file(file_descriptor(), "journal");
     bytes const data(10);
     cr_assert(file.append(data).ok());
-    forgetful_disk::next_sync_fails = true;
+    failing_file_calls::next_sync_fails = true;
     cr_assert(kind_of(file.append(data)) == error_kind::storage);
     cr_assert(kind_of(file.append(data)) == error_kind::storage);
     cr_assert(file.has_failed());
-    cr_assert_eq(forgetful_disk::written, 20);
+    cr_assert_eq(failing_file_calls::written, 20);
 }
 
 Test(durable_file, short_writes_when_appended_are_continued)
 {
-    forgetful_disk::largest_write = 3;
-    durable_file<forgetful_disk> file(file_descriptor(), "journal");
+    failing_file_calls::max_write_bytes = 3;
+    durable_file<failing_file_calls> file(file_descriptor(), "journal");
     cr_assert(file.append(bytes(10)).ok());
-    cr_assert_eq(forgetful_disk::written, 10);
+    cr_assert_eq(failing_file_calls::written, 10);
 }
