--- a/bilberrylead/store/checksummed_file.hpp
+++ b/bilberrylead/store/checksummed_file.hpp
@@ -10,43 +10,45 @@
 namespace bilberrylead::store
 {
 
-/// What a small file of the data folder is for; a file that was renamed by
-/// hand is not taken for another.
+/// Purpose of a small file in the data folder. Its value is the magic number
+/// of the file, so that a file renamed by hand is not read as another kind.
 enum class file_purpose : std::uint32_t
 {
-    /// The folder's incarnation.
+    /// The incarnation of the data folder.
     identity = 0x64496c42,
     /// A snapshot.
     snapshot = 0x6e536c42,
-    /// The head of the journal.
+    /// The header of the journal.
     journal = 0x6e4a6c42,
-    /// The upstreams as they were listed last.
+    /// The most recent listing of the upstreams.
     listing = 0x734c6c42,
-    /// Which requests run in which region, as it was planned last.
+    /// The most recent plan of which requests run in which region.
     region_plan = 0x50526c42,
 };
 
-/// A file that is written once, whole: a number and content, checksummed
-/// and with the format's version.
+/// Content of a file that is written in one piece: a number and a payload,
+/// with a format version and a checksum.
 struct checksummed_file
 {
-    /// Incarnation, snapshot index or journal base, by purpose.
+    /// Incarnation, snapshot index or base index of the journal, by purpose; 0
+    /// where the purpose has none.
     std::uint64_t number = 0;
-    /// The rest.
+    /// The payload.
     bytes content;
 };
 
-/// The file's bytes.
+/// Returns the encoded file: header, then `content`.
 bytes encode_checksummed_file(file_purpose purpose, std::uint64_t number,
                               std::span<std::uint8_t const> content);
 
-/// The file that `input` starts with, or nothing if it is damaged, for
-/// another purpose or of another version.
+/// Decodes the file at the start of `input`; nothing if it is damaged, has
+/// another purpose or another format version. Bytes after it are ignored.
 std::optional<checksummed_file>
 decode_checksummed_file(file_purpose purpose,
                         std::span<std::uint8_t const> input);
 
-/// Bytes that encode_checked_file adds to the content.
+/// Size of the header that encode_checksummed_file puts before the content,
+/// bytes.
 inline constexpr std::size_t checksummed_file_header_size = 32;
 
 } // namespace bilberrylead::store
--- a/bilberrylead/store/durable_file.hpp
+++ b/bilberrylead/store/durable_file.hpp
@@ -19,7 +19,7 @@
 namespace bilberrylead::store
 {
 
-/// System calls that a durable_file can work with.
+/// System calls that durable_file needs.
 template <class Calls>
 concept file_calls =
     requires(int descriptor, std::span<std::uint8_t const> data) {
@@ -27,33 +27,35 @@
         { Calls::sync(descriptor) } -> std::convertible_to<int>;
     };
 
-/// An append-only file whose content counts once it is synced. Used by one
-/// thread.
+/// An append-only file whose content is durable once it is synced. Used by
+/// one thread.
 ///
-/// After a failed write or sync it refuses everything. The kernel may drop
-/// the pages that it could not write and mark them clean: a second sync
+/// After a failed write or sync every further append fails. The kernel may
+/// drop the pages that it could not write and mark them clean: a second sync
 /// then reports success for data that never reached the disk, and an
-/// accepted change is gone after the next power loss. Only reading the file
-/// again after a restart tells what it holds.
+/// accepted change is lost at the next power failure. Only a restart, which
+/// reads the file again, shows what it contains.
 template <file_calls Calls = posix_calls>
 class durable_file
 {
 public:
-    /// No file; append() fails.
+    /// Owns no file; append() fails.
     durable_file() = default;
 
-    /// Takes over a file that is positioned at its end.
+    /// Takes ownership of a file that is positioned at its end.
+    /// `display_path` names it in errors.
     durable_file(file_descriptor&& open_file, std::string display_path)
         : file(std::move(open_file)), path(std::move(display_path))
     {
     }
 
-    /// Writes `data` whole and syncs it.
+    /// Writes all of `data` and syncs it; error_kind::storage if either fails
+    /// or has failed before.
     absl::Status append(std::span<std::uint8_t const> data)
     {
         if (this->failed)
         {
-            return this->write_error("failed before");
+            return this->write_error("an earlier write or sync failed");
         }
         this->failed = true;
         while (!data.empty())
@@ -77,7 +79,7 @@
         return absl::OkStatus();
     }
 
-    /// True once a write or sync failed; stays so.
+    /// True from the first failed write or sync on.
     bool has_failed() const
     {
         return this->failed;
@@ -89,7 +91,7 @@
         return make_error(
             error_kind::storage,
             fmt::format("Writing {} failed: {}.", this->path, reason),
-            "Make room or replace the disk, then restart this process.");
+            "Free disk space or replace the disk, then restart this process.");
     }
 
     file_descriptor file;
--- a/bilberrylead/store/file_descriptor.hpp
+++ b/bilberrylead/store/file_descriptor.hpp
@@ -4,13 +4,13 @@
 namespace bilberrylead::store
 {
 
-/// Owns an open file of the operating system and closes it.
+/// Owns a POSIX file descriptor and closes it on destruction.
 class file_descriptor
 {
 public:
-    /// Owns nothing.
+    /// Owns no descriptor.
     file_descriptor() = default;
-    /// Takes over an open file; -1 is none.
+    /// Takes ownership of `open_descriptor`; -1 means none.
     explicit file_descriptor(int open_descriptor);
     file_descriptor(file_descriptor&& other) noexcept;
     file_descriptor& operator=(file_descriptor&& other) noexcept;
@@ -18,9 +18,9 @@
     file_descriptor& operator=(file_descriptor const&) = delete;
     ~file_descriptor();
 
-    /// The number that system calls take, -1 if there is none.
+    /// The descriptor for system calls, -1 if there is none. Stays owned.
     int get() const;
-    /// True if a file is open.
+    /// True if a descriptor is owned.
     bool is_open() const;
 
 private:
--- a/bilberrylead/store/folder_files.cpp
+++ b/bilberrylead/store/folder_files.cpp
@@ -50,7 +50,7 @@
     constexpr mode_t private_folder_mode = 0700;
     if (::mkdir(folder.c_str(), private_folder_mode) != 0 && errno != EEXIST)
     {
-        return system_error("Making the data folder", folder);
+        return system_error("Creating the data folder", folder);
     }
     std::filesystem::path const parent = folder.parent_path();
     return sync_folder(parent.empty() ? std::filesystem::path(".") : parent);
@@ -114,7 +114,7 @@
                                       private_file_mode));
     if (!descriptor.is_open())
     {
-        return system_error("Making", temporary);
+        return system_error("Creating", temporary);
     }
     durable_file<> file(std::move(descriptor), temporary.string());
     absl::Status written = file.append(content);
--- a/bilberrylead/store/folder_files.hpp
+++ b/bilberrylead/store/folder_files.hpp
@@ -15,32 +15,34 @@
 namespace bilberrylead::store
 {
 
-/// Makes the folder, durably, unless it exists.
+/// Creates the folder, readable by its owner only, and syncs its parent.
+/// Does nothing if the folder exists.
 absl::Status create_folder(std::filesystem::path const& folder);
 
-/// Makes the folder's list of names durable.
+/// Makes the folder's directory entries durable (fsync).
 absl::Status sync_folder(std::filesystem::path const& folder);
 
-/// Reads a whole file; nothing if there is no such file.
+/// Reads a complete file; nothing if the file does not exist.
 absl::StatusOr<std::optional<bytes>>
 read_file(std::filesystem::path const& path);
 
-/// Writes `content` beside `path`, syncs it and renames it to `path`. After
-/// a crash `path` holds the old content or the new one, whole. Until
-/// sync_folder it may hold either. On an error before the rename the old
-/// content is untouched and the file beside it is removed.
+/// Writes `content` to a temporary file next to `path`, syncs it and renames
+/// it to `path`. After a crash `path` has either the complete old content or
+/// the complete new content; until sync_folder() either is possible. On an
+/// error the old content is untouched and the temporary file is removed.
 absl::Status replace_file(std::filesystem::path const& path,
                           std::span<std::uint8_t const> content);
 
-/// Removes a file that an earlier replace_file left unfinished.
+/// Removes the temporary file of a replace_file() that a crash interrupted.
 void remove_temporary_file(std::filesystem::path const& path);
 
-/// Opens a file to append to it.
+/// Opens an existing file for appending.
 absl::StatusOr<file_descriptor>
 open_for_append(std::filesystem::path const& path);
 
-/// Opens and locks a file until the descriptor is closed; fails if another
-/// process (or this one, elsewhere) holds the lock.
+/// Opens or creates a file and locks it exclusively until the descriptor is
+/// closed. Fails with error_kind::storage if another process, or another
+/// descriptor of this process, holds the lock.
 absl::StatusOr<file_descriptor> lock_file(std::filesystem::path const& path);
 
 } // namespace bilberrylead::store
--- a/bilberrylead/store/journal.cpp
+++ b/bilberrylead/store/journal.cpp
@@ -73,7 +73,8 @@
 
 absl::Status journal::recover()
 {
-    // Files that a crash left before their rename never counted.
+    // Temporary files that a crash left before their rename were never part
+    // of the content.
     for (char const* name :
          {journal_file_name, snapshot_file_name, identity_file_name})
     {
@@ -90,7 +91,8 @@
                              this->recovered_content.snapshot.has_value();
     if (this->recovered_content.discarded_bytes > 0)
     {
-        log.warning("An unfinished write of {} bytes was cut off.",
+        log.warning("Discarded an incomplete write of {} bytes at the end of "
+                    "the journal.",
                     this->recovered_content.discarded_bytes);
     }
     if (content->has_journal)
@@ -99,8 +101,8 @@
         return identity.ok() ? this->rewrite(this->recovered_content)
                              : identity;
     }
-    // The journal comes before the identity: whoever has an identity had a
-    // journal, and without it may have forgotten its votes.
+    // The journal is created before the identity. A folder with an identity
+    // but no journal has therefore lost its journal, and possibly its votes.
     absl::Status identity = this->recover_identity(false, has_records);
     if (!identity.ok())
     {
@@ -212,8 +214,9 @@
         return absl::OkStatus();
     }
     return make_error(
-        error_kind::storage, "The journal failed before and is closed.",
-        "Make room or replace the disk, then restart this process.");
+        error_kind::storage,
+        "An earlier write to the journal failed; the journal is closed.",
+        "Free disk space or replace the disk, then restart this process.");
 }
 
 absl::Status journal::append(std::uint64_t index,
@@ -226,18 +229,17 @@
     }
     if (index <= this->base_index || index > this->last_record_index + 1)
     {
-        return invalid_call(
-            fmt::format("Record {} can't follow snapshot {} and record {}.",
-                        index, this->base_index, this->last_record_index));
+        return invalid_call(fmt::format(
+            "Record {} is out of sequence after snapshot {} and record {}.",
+            index, this->base_index, this->last_record_index));
     }
     if (content.size() > this->settings.max_record_bytes)
     {
-        return make_error(error_kind::bad_value,
-                          fmt::format("A record of {} bytes is larger than "
-                                      "{}.",
-                                      content.size(),
-                                      this->settings.max_record_bytes),
-                          "Split the change.");
+        return make_error(
+            error_kind::bad_value,
+            fmt::format("A record of {} bytes exceeds the limit of {} bytes.",
+                        content.size(), this->settings.max_record_bytes),
+            "Split the change.");
     }
     this->pending.add(journal_batch::record_kind::entry, index, content);
     this->last_record_index = index;
@@ -304,7 +306,8 @@
                                         index, this->base_index));
     }
 
-    // Read back first: an unreadable journal must not lose its snapshot.
+    // Read the journal back before the snapshot is replaced: if the journal
+    // is unreadable, the old snapshot must stay.
     absl::StatusOr<folder_content> on_disk = read_folder(this->folder);
     if (!on_disk.ok())
     {
@@ -318,7 +321,8 @@
         return replaced;
     }
 
-    // The snapshot must be durable before the records it covers are gone.
+    // The snapshot must be durable before the records that it covers are
+    // removed.
     this->failed = true;
     absl::Status renamed = sync_folder(this->folder);
     if (!renamed.ok())
--- a/bilberrylead/store/journal.hpp
+++ b/bilberrylead/store/journal.hpp
@@ -19,62 +19,68 @@
 namespace bilberrylead::store
 {
 
-/// The durable log of one host: records with an index, a small state blob
-/// and one snapshot, in one data folder that it locks. Nothing is durable
-/// before sync() said so. Used by one thread.
+/// The durable log of one host: indexed records, a small state blob and one
+/// snapshot, in a data folder that it locks. A change is durable only once
+/// sync() has returned OK. Used by one thread.
 ///
-/// A write or sync that fails ends it: every later call is refused with
-/// error_kind::storage, and only a restart, which reads back what the disk
-/// really holds, brings it back.
+/// After a failed write or sync every later change is refused with
+/// error_kind::storage. Only a restart recovers from this, since it reads
+/// back what the disk actually contains.
 class journal
 {
 public:
-    /// Opens the folder, makes it if it isn't there, and recovers its
-    /// content: an unfinished last write is cut off, other damage is
-    /// refused with the remedy. What is recovered is written anew and
-    /// synced, since it may come from pages that an earlier process failed
-    /// to sync.
+    /// Opens the folder, creates it if it does not exist, and recovers its
+    /// content. An incomplete last write is discarded; any other damage is
+    /// refused with error_kind::corrupt and the remedy. The recovered content
+    /// is rewritten and synced, since it may come from cached pages that an
+    /// earlier process failed to sync.
     static absl::StatusOr<journal> open(std::filesystem::path const& folder,
                                         journal_settings const& settings = {});
 
-    /// What open() found. The caller may move it out.
+    /// The content that open() recovered. The caller may move it out.
     recovered_state& recovered();
 
-    /// Random number given to the folder when it was made. A host whose
-    /// disk was lost comes back with another one and isn't its former self.
+    /// Random number assigned to the folder when it was created, never 0. A
+    /// host that lost its disk restarts with another incarnation, so that it
+    /// is not mistaken for its previous one.
     std::uint64_t incarnation() const;
 
-    /// Adds a record. One at or before the last index first drops the
-    /// records from that index on. A gap, an index covered by the snapshot
-    /// and an oversized record are refused.
+    /// Adds a record. If `index` is not after the last index, the records
+    /// from `index` on are dropped first. A gap, an index covered by the
+    /// snapshot and a record over journal_settings::max_record_bytes are
+    /// refused with error_kind::bad_value.
     absl::Status append(std::uint64_t index,
                         std::span<std::uint8_t const> content);
-    /// Drops all records after `index`.
+    /// Drops all records after `index`; error_kind::bad_value if `index` is
+    /// before the snapshot.
     absl::Status truncate_after(std::uint64_t index);
     /// Replaces the state blob.
     absl::Status set_state(std::span<std::uint8_t const> state);
-    /// Makes everything since the last sync durable, with one write and one
-    /// fdatasync. On an error none of it counts.
+    /// Makes all changes since the last sync durable as one batch, written
+    /// and followed by one fdatasync. After an error none of them may be
+    /// treated as durable.
     absl::Status sync();
 
-    /// Replaces the snapshot by one of all records up to `index` and drops
-    /// those; records after it stay. Syncs everything. Where they don't
-    /// belong to the snapshot's history, call drop_after(index) first: the
-    /// other way round a crash in between leaves them behind the snapshot,
-    /// where their older term lets the host vote for a candidate that lacks
-    /// what the snapshot holds. An error that leaves the old snapshot in place,
-    /// such as a full disk, doesn't end the journal: see has_failed().
+    /// Replaces the snapshot by one that covers all records up to `index`,
+    /// drops those records and keeps the later ones. Syncs everything. If the
+    /// later records conflict with the snapshot, call truncate_after(index)
+    /// first: in the opposite order, a crash between the two leaves them after
+    /// the snapshot, where their older term lets the host vote for a candidate
+    /// that lacks what the snapshot contains. After an error that leaves the
+    /// old snapshot in place, such as a full disk, the journal stays usable:
+    /// see has_failed().
     absl::Status install_snapshot(std::uint64_t index,
                                   std::span<std::uint8_t const> content);
 
-    /// Index of the last record, or of the snapshot if none follows it; 0
-    /// if there is neither.
+    /// Index of the last record, or of the snapshot if no record follows it;
+    /// 0 if there is neither.
     std::uint64_t last_index() const;
     /// Index of the snapshot, 0 if there is none.
     std::uint64_t snapshot_index() const;
-    /// Bytes of the journal file, a measure for when to take a snapshot.
+    /// Size of the journal file, bytes; used to decide when to create a
+    /// snapshot.
     std::uint64_t file_bytes() const;
-    /// True once the journal refuses everything.
+    /// True once a failed write or sync has closed the journal for changes.
     bool has_failed() const;
 
 private:
--- a/bilberrylead/store/journal_batch.cpp
+++ b/bilberrylead/store/journal_batch.cpp
@@ -26,7 +26,7 @@
 constexpr std::size_t record_length_offset = 9;
 constexpr std::size_t record_header_size = 17;
 
-/// The head of a frame.
+/// The decoded header of a frame. `length` is that of the payload, bytes.
 struct batch_header
 {
     std::uint64_t sequence = 0;
@@ -52,8 +52,9 @@
             input.subspan(payload_checksum_offset))};
 }
 
-/// True if a frame's head stands anywhere in `input`. The salt keeps out
-/// bytes of older files and of records that look like a head.
+/// True if `input` contains a valid frame header at any offset. The salt in
+/// its checksum rules out bytes of older files and record contents that look
+/// like a header.
 bool contains_header(std::uint64_t salt, std::span<std::uint8_t const> input)
 {
     std::array<std::uint8_t, sizeof(batch_magic)> magic{};
@@ -165,8 +166,8 @@
         std::optional<batch_header> const header = read_header(salt, input);
         if (!header.has_value())
         {
-            // The head itself is lost. Unless a later batch was begun, this
-            // one was never acknowledged.
+            // The header itself is damaged. A later header means that this
+            // batch was acknowledged; without one it never was.
             if (contains_header(salt, input.subspan(1)))
             {
                 return corrupted_before_end();
@@ -187,7 +188,7 @@
         if (XXH64(payload.data(), payload.size(), header->sequence) !=
             header->payload_checksum)
         {
-            // Bytes after a batch were written once it was durable.
+            // Bytes after a batch are written only once the batch is durable.
             if (header->length < available)
             {
                 return corrupted_before_end();
--- a/bilberrylead/store/journal_batch.hpp
+++ b/bilberrylead/store/journal_batch.hpp
@@ -13,22 +13,22 @@
 namespace bilberrylead::store
 {
 
-/// Everything that one sync makes durable, as one frame of the journal. A
-/// batch is written only after the one before it is durable, so that only
-/// the last can be unfinished after a crash; inside it the disk may have
-/// kept any pages and lost any others.
+/// The records that one sync makes durable, encoded as one frame of the
+/// journal. A batch is written only after the previous one is durable, so
+/// only the last batch can be incomplete after a crash; any of its pages may
+/// then be missing.
 class journal_batch
 {
 public:
     /// An empty batch.
     journal_batch();
 
-    /// What a record says.
+    /// Type of a record, as stored.
     enum class record_kind : std::uint8_t
     {
-        /// A log record; drops those at its index and after.
+        /// A log record; replaces the log records from its index on.
         entry = 1,
-        /// The state blob; replaces the one before.
+        /// The state blob; replaces the previous one.
         state = 2,
         /// Drops all log records after its index.
         truncate = 3,
@@ -37,44 +37,44 @@
     /// Adds a record.
     void add(record_kind kind, std::uint64_t index,
              std::span<std::uint8_t const> content);
-    /// True if nothing was added.
+    /// True if the batch has no records.
     bool empty() const;
-    /// The frame's bytes; valid until the next call. `salt` is the file's,
-    /// `sequence` the batch's number within it, from 1.
+    /// Fills in the frame's header and returns the frame, valid until the next
+    /// call. `salt` is that of the file, `sequence` the number of the batch
+    /// within the file, from 1.
     std::span<std::uint8_t const> seal(std::uint64_t salt,
                                        std::uint64_t sequence);
-    /// Removes everything.
+    /// Removes all records.
     void clear();
 
 private:
     bytes frame;
 };
 
-/// A record as it stands in the journal; its content belongs to the bytes
-/// that were scanned.
+/// A decoded record. Its content refers to the scanned bytes, which must
+/// outlive it.
 struct journal_record
 {
-    /// What it says.
     journal_batch::record_kind kind = journal_batch::record_kind::entry;
-    /// Its index.
+    /// Position in the log; 0 for the state blob.
     std::uint64_t index = 0;
-    /// Its content.
+    /// Content; empty for a truncation.
     std::span<std::uint8_t const> content;
 };
 
-/// What scan_batches found.
+/// Result of scan_batches().
 struct batch_scan
 {
-    /// Records of all whole batches, in order.
+    /// Records of all complete batches, in order.
     std::vector<journal_record> records;
-    /// Batches they came from.
+    /// Number of complete batches.
     std::uint64_t batch_count = 0;
-    /// Bytes after the last whole batch: an unfinished write.
+    /// Bytes after the last complete batch, left by an incomplete write.
     std::uint64_t discarded_bytes = 0;
 };
 
-/// Reads the batches of a journal. An unfinished last batch is left out; a
-/// damaged one with anything durable after it is an error.
+/// Reads the batches of a journal. An incomplete last batch is left out; a
+/// damaged batch with durable data after it is error_kind::corrupt.
 absl::StatusOr<batch_scan> scan_batches(std::uint64_t salt,
                                         std::span<std::uint8_t const> input);
 
--- a/bilberrylead/store/journal_entry.hpp
+++ b/bilberrylead/store/journal_entry.hpp
@@ -8,13 +8,13 @@
 namespace bilberrylead::store
 {
 
-/// Something stored under an index: a record of the log, or the snapshot of
-/// everything up to that index.
+/// Content stored under an index: a record of the log, or the snapshot of all
+/// records up to and including that index.
 struct journal_entry
 {
     /// Position in the log, from 1.
     std::uint64_t index = 0;
-    /// Content; the journal does not look into it.
+    /// Content, opaque to the journal.
     bytes content;
 
     friend bool operator==(journal_entry const&,
--- a/bilberrylead/store/journal_settings.hpp
+++ b/bilberrylead/store/journal_settings.hpp
@@ -6,11 +6,11 @@
 namespace bilberrylead::store
 {
 
-/// Bounds of the journal.
+/// Limits of the journal.
 struct journal_settings
 {
-    /// Largest record that is taken, bytes, over 0. A configuration travels
-    /// as one record; one above this would also stall every heartbeat.
+    /// Largest accepted record, bytes, over 0. A configuration is sent as one
+    /// record; a larger one would also delay every heartbeat.
     std::size_t max_record_bytes = std::size_t{64} << 20U;
 };
 
--- a/bilberrylead/store/little_endian.hpp
+++ b/bilberrylead/store/little_endian.hpp
@@ -9,7 +9,8 @@
 namespace bilberrylead::store
 {
 
-/// Writes `value` at the start of `output`, lowest byte first.
+/// Writes `value` at the start of `output`, least significant byte first.
+/// `output` must be large enough.
 template <std::unsigned_integral Number>
 void write_little_endian(std::span<std::uint8_t> output, Number value)
 {
@@ -19,7 +20,7 @@
     }
 }
 
-/// Reads the number that put_number wrote at the start of `input`.
+/// Reads the number that write_little_endian() wrote at the start of `input`.
 template <std::unsigned_integral Number>
 Number read_little_endian(std::span<std::uint8_t const> input)
 {
--- a/bilberrylead/store/posix_calls.hpp
+++ b/bilberrylead/store/posix_calls.hpp
@@ -10,8 +10,8 @@
 namespace bilberrylead::store
 {
 
-/// The system calls that may fail while the journal writes. A template
-/// parameter of durable_file, so that tests can let them fail.
+/// The system calls that can fail while the journal is written. They are a
+/// template parameter of durable_file, so that tests can inject failures.
 struct posix_calls
 {
     /// write(2): bytes written or -1 with errno set.
--- a/bilberrylead/store/recovered_state.hpp
+++ b/bilberrylead/store/recovered_state.hpp
@@ -11,16 +11,16 @@
 namespace bilberrylead::store
 {
 
-/// What a data folder held when it was opened.
+/// Content of a data folder when it was opened.
 struct recovered_state
 {
-    /// The newest snapshot, if one was installed.
+    /// The latest snapshot, if one was installed.
     std::optional<journal_entry> snapshot;
-    /// The newest state blob (term and vote, for example), if one was set.
+    /// The latest state blob (term and vote, for example), if one was set.
     std::optional<bytes> state;
-    /// Records after the snapshot, without a gap.
+    /// Records after the snapshot, with consecutive indices.
     std::vector<journal_entry> entries;
-    /// Bytes of an unfinished write that were cut off.
+    /// Bytes of an incomplete last write that were discarded.
     std::uint64_t discarded_bytes = 0;
 };
 
--- a/bilberrylead/store/recovery.cpp
+++ b/bilberrylead/store/recovery.cpp
@@ -46,7 +46,8 @@
     return absl::OkStatus();
 }
 
-/// Takes one record into the state; false if it can't follow what is there.
+/// Applies one record to the state; false if it leaves a gap after the last
+/// one.
 bool replay(journal_record const& record, std::uint64_t snapshot_index,
             recovered_state& state)
 {
@@ -69,7 +70,8 @@
     {
         state.entries.pop_back();
     }
-    // Left over from before the snapshot, if the crash came in between.
+    // A crash between the write of the snapshot and that of the journal leaves
+    // records that the snapshot covers.
     if (record.index <= snapshot_index)
     {
         return true;
@@ -108,7 +110,7 @@
         decode_checksummed_file(file_purpose::journal, file);
     if (!header.has_value() || header->content.size() != sizeof(std::uint64_t))
     {
-        return corrupt("The head of the journal is damaged", folder);
+        return corrupt("The header of the journal is damaged", folder);
     }
     std::uint64_t const snapshot_index =
         result.state.snapshot.has_value() ? result.state.snapshot->index : 0;
--- a/bilberrylead/store/recovery.hpp
+++ b/bilberrylead/store/recovery.hpp
@@ -19,17 +19,17 @@
 /// Name of the snapshot's file in the data folder.
 inline constexpr char const* snapshot_file_name = "snapshot";
 
-/// Reads snapshot and journal of a folder; `has_journal` tells whether there
-/// was a journal at all. Changes nothing.
+/// Snapshot and journal of a data folder, decoded.
 struct folder_content
 {
-    /// What they hold.
+    /// Content of the snapshot and the journal.
     recovered_state state;
     /// False if the folder has no journal yet.
     bool has_journal = false;
 };
 
-/// Reads the folder and refuses damage with the remedy.
+/// Reads snapshot and journal of the folder without changing anything. Damage
+/// before the end of the journal is error_kind::corrupt, with the remedy.
 absl::StatusOr<folder_content> read_folder(std::filesystem::path const& folder);
 
 } // namespace bilberrylead::store
--- a/tests/unit/store/journal_crash_test.cpp
+++ b/tests/unit/store/journal_crash_test.cpp
@@ -18,14 +18,12 @@
 namespace
 {
 
-/// A journal of two batches that a crash left, before anybody read it.
+/// A journal of two batches as left by a crash, before recovery.
 struct crashed_journal
 {
     temporary_folder folder;
     bytes content;
-    /// Where the first batch starts.
     std::size_t first_batch_offset = 0;
-    /// Where the second batch starts.
     std::size_t second_batch_offset = 0;
 
     crashed_journal()
@@ -39,7 +37,7 @@
         cr_assert_eq(this->content.size(), written.file_bytes());
     }
 
-    /// Leaves `damaged` as what the disk holds.
+    /// Replaces the journal file by `damaged`.
     void write_journal(bytes const& damaged) const
     {
         write_all(this->folder.file("journal"), damaged);
@@ -52,7 +50,7 @@
     }
 };
 
-/// Leaves a folder with four records, the first of them in a snapshot.
+/// Writes four records, the first `covered` of them in a snapshot.
 void create_journal_with_snapshot(temporary_folder const& folder,
                                   std::uint64_t covered)
 {
@@ -61,7 +59,7 @@
     cr_assert(written.install_snapshot(covered, to_bytes("snapshot")).ok());
 }
 
-/// Removes a file or flips a bit of it.
+/// Removes the file if `removed`, else flips one bit of it.
 void remove_or_corrupt(std::filesystem::path const& path, bool removed)
 {
     if (removed)
@@ -76,10 +74,10 @@
 
 } // namespace
 
-// The power fails while the second batch is written and not yet synced; the
-// disk keeps its first bytes. Nobody was told that it is durable. After the
-// restart the first batch is there whole, of the second nothing or all, and
-// the journal goes on from there.
+// Power fails while the second batch is written and not yet synced, and the
+// disk keeps only its first bytes. The batch was never acknowledged. After the
+// restart the first batch is complete, the second is either complete or
+// absent, and the journal accepts further records.
 Test(journal, last_batch_when_torn_at_any_byte_recovers_to_the_one_before)
 {
     crashed_journal const crashed;
@@ -101,8 +99,8 @@
 }
 
 // The disk keeps later pages of the unsynced batch and loses earlier ones,
-// which read as zeros. The batch counts as unfinished although its end and
-// the file's length are right.
+// which read as zeros. The batch must be treated as incomplete although its
+// end and the file's length are right.
 Test(journal, last_batch_when_any_byte_of_it_is_lost_recovers_before_it)
 {
     crashed_journal const crashed;
@@ -118,9 +116,10 @@
     }
 }
 
-// A sector of an acknowledged batch goes bad. Cut there, the host would
-// come back having forgotten what it acknowledged, and a quorum that counts
-// on it could lose an accepted change. It must not start.
+// A sector of an acknowledged batch becomes unreadable. If the journal were
+// truncated there, the host would restart without records that it
+// acknowledged, and a quorum that counts on it could lose an accepted change.
+// The host must not start.
 Test(journal, middle_when_any_byte_is_damaged_is_refused)
 {
     crashed_journal const crashed;
@@ -134,7 +133,8 @@
     }
 }
 
-// A page in the middle is lost: the rest moves up, or reads as zeros.
+// A batch in the middle is lost: the bytes after it move forward in the file,
+// or its own bytes read as zeros.
 Test(journal, middle_when_cut_out_or_zeroed_is_refused)
 {
     crashed_journal const crashed;
@@ -156,8 +156,9 @@
     cr_assert(crashed.reports_corruption());
 }
 
-// A whole batch vanishes that held nothing but a vote: the records around it
-// fit together. Started without it, the host would vote twice in a term.
+// A complete batch that contains only a vote is lost. The indices of the
+// records around it are consecutive, so they show no gap. If the host started
+// without the batch, it could vote twice in a term.
 Test(journal, vote_between_records_when_cut_out_is_refused)
 {
     temporary_folder const folder;
@@ -180,8 +181,8 @@
               error_kind::corrupt);
 }
 
-// The process dies while it writes a snapshot. The half-written file never
-// counted; it goes away and the records are all there.
+// The process crashes while it writes a snapshot. The incomplete temporary
+// file was never part of the content: it is removed, and all records remain.
 Test(journal, unfinished_snapshot_when_opened_is_dropped)
 {
     temporary_folder const folder;
@@ -198,8 +199,9 @@
     cr_assert_not(std::filesystem::exists(folder.file("journal.tmp")));
 }
 
-// The process dies after the snapshot was renamed and before the journal
-// dropped what it covers. Covered records are skipped, later ones stay.
+// The process crashes after the snapshot was renamed and before the records
+// that it covers were removed from the journal. Recovery skips the covered
+// records and keeps the later ones.
 Test(journal, snapshot_without_truncated_journal_when_opened_reads_both)
 {
     temporary_folder const folder;
@@ -216,10 +218,10 @@
     cr_assert_eq(recovered.snapshot_index(), 4);
 }
 
-// A follower gets a snapshot from the leader that its own records after it
-// contradict. It drops them first. Whether it dies before the snapshot or
-// between snapshot and journal, none of them stands behind the snapshot: the
-// host would vote by their older term.
+// A follower receives a snapshot from the leader that conflicts with the
+// follower's later records, and drops those records first. Whether it crashes
+// before the snapshot is written or between snapshot and journal, none of them
+// may follow the snapshot: the host would use their older term when it votes.
 Test(journal, records_dropped_before_a_snapshot_when_crashed_stay_gone)
 {
     temporary_folder const folder;
@@ -243,16 +245,16 @@
     cr_assert(open_journal(folder).recovered().entries == make_entries(1, 6));
 }
 
-// Files vanish or are damaged one by one under a host that had records.
-// Started anyway, it would vote a second time as its former self.
+// Each file in turn is lost or damaged on a host that had records. If the host
+// started anyway, it could vote a second time under its previous incarnation.
 Test(journal, each_file_when_lost_or_damaged_is_refused)
 {
     for (char const* name : {"journal", "snapshot", "identity"})
     {
         for (bool const removed : {true, false})
         {
-            // Once with a record after the snapshot and once with none,
-            // where no gap tells that the snapshot is missing.
+            // With a record after the snapshot, and without one: then no gap
+            // shows that the snapshot is missing.
             for (std::uint64_t const covered : {3U, 4U})
             {
                 temporary_folder const folder;
@@ -270,8 +272,9 @@
     }
 }
 
-// The first start dies between the journal and the identity: there was
-// nothing to lose, the next start makes the identity.
+// The first start crashes after the journal was created and before the
+// identity was. No data can be lost yet, so the next start creates the
+// identity.
 Test(journal, first_start_when_crashed_before_the_identity_creates_it)
 {
     temporary_folder const folder;
--- a/tests/unit/store/journal_fixture.hpp
+++ b/tests/unit/store/journal_fixture.hpp
@@ -30,7 +30,7 @@
     return to_bytes("record " + std::to_string(index));
 }
 
-/// A data folder that goes away with the test.
+/// A temporary parent of a data folder, removed on destruction.
 class temporary_folder
 {
 public:
@@ -49,7 +49,7 @@
         std::filesystem::remove_all(this->parent, ignored);
     }
 
-    /// The data folder; not made yet.
+    /// Path of the data folder, which the constructor does not create.
     std::filesystem::path data() const
     {
         return this->parent / "data";
--- a/tests/unit/store/journal_full_disk_test.cpp
+++ b/tests/unit/store/journal_full_disk_test.cpp
@@ -19,7 +19,8 @@
 namespace
 {
 
-/// Lets this test's process write files of at most `size` bytes.
+/// Limits the files that the process of this test writes to `size` bytes, to
+/// simulate a full disk.
 void limit_file_size(rlim_t size)
 {
     std::signal(SIGXFSZ, SIG_IGN);
@@ -29,7 +30,8 @@
     cr_assert_eq(::setrlimit(RLIMIT_FSIZE, &limit), 0);
 }
 
-/// A disk whose next sync fails, and whose syncs after that "succeed".
+/// File calls whose next sync can be made to fail. Later syncs report success
+/// again, as the kernel does after it dropped the pages.
 struct failing_file_calls
 {
     static inline bool next_sync_fails = false;
@@ -56,9 +58,10 @@
 
 } // namespace
 
-// The disk fills up in the middle of a batch. The sync says so, nothing of
-// the batch counts, and nothing more is accepted, also once there is room:
-// what the file holds is known only after it was read again.
+// The disk fills up in the middle of a batch. The sync reports the error, no
+// record of the batch is durable, and the journal refuses further changes even
+// after disk space is freed: only reading the file again after a restart shows
+// what it contains.
 Test(journal, full_disk_when_synced_refuses_until_restarted)
 {
     temporary_folder const folder;
@@ -82,8 +85,8 @@
     append_and_sync(reopened, 4, 4);
 }
 
-// There is no room for a snapshot. It leaves no trace, and the journal goes
-// on with the records that the snapshot would have covered.
+// The disk is too full for a snapshot. No part of the snapshot remains, and
+// the journal stays usable with the records that it would have covered.
 Test(journal, full_disk_when_a_snapshot_is_installed_keeps_the_records)
 {
     temporary_folder const folder;
@@ -101,8 +104,9 @@
     cr_assert(reopened.recovered().entries == make_entries(1, 4));
 }
 
-// A sync fails; the kernel drops the pages and the next sync reports
-// success. Believed, an accepted change would be gone after a power loss.
+// A sync fails, the kernel drops the pages and the next sync reports success.
+// If that success were trusted, an accepted change would be lost at the next
+// power failure.
 Test(durable_file, failed_sync_when_next_sync_succeeds_stays_failed)
 {
     failing_file_calls::max_write_bytes = 100;
