--- a/bilberrylead/steering/address_block.cpp
+++ b/bilberrylead/steering/address_block.cpp
@@ -45,7 +45,7 @@
             fmt::format("\"{}\" is not a block of addresses.", text),
             "Write it like 10.1.0.0/16 or 2001:db8::/32.");
     }
-    address_block const block = around(*address, *length);
+    address_block const block = containing(*address, *length);
     if (block.first() != *address)
     {
         return make_error(
@@ -57,7 +57,8 @@
     return block;
 }
 
-address_block address_block::around(ip_address const& address, unsigned length)
+address_block address_block::containing(ip_address const& address,
+                                        unsigned length)
 {
     assert(length <= (address.is_v4() ? v4_bits : v6_bits));
     address_block block;
--- a/bilberrylead/steering/address_block.hpp
+++ b/bilberrylead/steering/address_block.hpp
@@ -20,7 +20,7 @@
     static absl::StatusOr<address_block> parse(std::string const& text);
     /// Makes a block of the addresses that share the first `length` bits
     /// with `address`; `length` is 0 to 32 or 0 to 128.
-    static address_block around(ip_address const& address, unsigned length);
+    static address_block containing(ip_address const& address, unsigned length);
 
     /// CIDR form.
     std::string to_string() const;
--- a/bilberrylead/steering/block_entry.hpp
+++ b/bilberrylead/steering/block_entry.hpp
@@ -6,12 +6,12 @@
 namespace bilberrylead::steering
 {
 
-/// Number that a block stands for, below largest_block_value: the index of
+/// Number that a block stands for, below block_value_limit: the index of
 /// its zone and labels, which many blocks share.
 using block_value = std::uint32_t;
 
 /// First number that is too large for a block_value.
-inline constexpr block_value largest_block_value = 1U << 24U;
+inline constexpr block_value block_value_limit = 1U << 24U;
 
 /// Length and value of a block in four bytes.
 class packed_block
@@ -35,7 +35,7 @@
     /// What the block stands for.
     block_value value() const
     {
-        return this->packed & (largest_block_value - 1);
+        return this->packed & (block_value_limit - 1);
     }
 
 private:
--- a/bilberrylead/steering/block_table.cpp
+++ b/bilberrylead/steering/block_table.cpp
@@ -1,7 +1,7 @@
 #include "bilberrylead/steering/block_table.hpp"
 
 #include "bilberrylead/core/error.hpp"
-#include "bilberrylead/steering/family_change.hpp"
+#include "bilberrylead/steering/layered_table_change.hpp"
 
 #include <fmt/format.h>
 
@@ -16,7 +16,7 @@
 {
 
 /// The lists of the blocks of each kind while a table is built.
-struct sorted_blocks
+struct entry_lists
 {
     std::vector<block_entry<std::uint32_t>> v4;
     std::vector<block_entry<std::uint64_t>> v6;
@@ -26,15 +26,15 @@
 /// What changes in each kind.
 struct table_change
 {
-    family_change<std::uint32_t> v4;
-    family_change<std::uint64_t> v6;
-    family_change<v6_key> v6_long;
+    layered_table_change<std::uint32_t> v4;
+    layered_table_change<std::uint64_t> v6;
+    layered_table_change<v6_key> v6_long;
 };
 
 /// Calls `action` with the part of `parts` that the block belongs to and
 /// the block's first address as that part has it.
 template <class Parts, class Action>
-auto with_part(Parts& parts, address_block const& block, Action&& action)
+auto visit_part(Parts& parts, address_block const& block, Action&& action)
 {
     ip_address const& first = block.first();
     if (first.is_v4())
@@ -46,21 +46,21 @@
                                         : action(parts.v6_long, first.v6());
 }
 
-absl::Status check_value(valued_block const& each)
+absl::Status check_value(valued_block const& entry)
 {
-    if (each.value < largest_block_value)
+    if (entry.value < block_value_limit)
     {
         return absl::OkStatus();
     }
     return make_error(
         error_kind::no_room,
         fmt::format("Block {} stands for number {}, the largest is {}.",
-                    each.block.to_string(), each.value,
-                    largest_block_value - 1),
+                    entry.block.to_string(), entry.value,
+                    block_value_limit - 1),
         "Let blocks with equal zone and labels share a number.");
 }
 
-absl::Status absent(address_block const& block)
+absl::Status not_found_error(address_block const& block)
 {
     return make_error(error_kind::unknown_name,
                       fmt::format("Block {} is to be removed and isn't there.",
@@ -73,32 +73,32 @@
 absl::StatusOr<block_table>
 block_table::build(std::span<valued_block const> blocks)
 {
-    sorted_blocks parts;
-    for (valued_block const& each : blocks)
+    entry_lists parts;
+    for (valued_block const& entry : blocks)
     {
-        absl::Status status = check_value(each);
+        absl::Status status = check_value(entry);
         if (!status.ok())
         {
             return status;
         }
-        packed_block const packed(each.block.length(), each.value);
-        with_part(parts, each.block,
-                  [&packed](auto& entries, auto const& start)
-                  {
-                      entries.push_back({start, packed});
-                  });
+        packed_block const packed(entry.block.length(), entry.value);
+        visit_part(parts, entry.block,
+                   [&packed](auto& entries, auto const& start)
+                   {
+                       entries.push_back({start, packed});
+                   });
     }
-    absl::Status status = sort_unique(parts.v4);
-    status.Update(sort_unique(parts.v6));
-    status.Update(sort_unique(parts.v6_long));
+    absl::Status status = sort_and_reject_duplicates(parts.v4);
+    status.Update(sort_and_reject_duplicates(parts.v6));
+    status.Update(sort_and_reject_duplicates(parts.v6_long));
     if (!status.ok())
     {
         return status;
     }
     block_table table;
-    table.v4 = layered_family<std::uint32_t>(parts.v4);
-    table.v6 = layered_family<std::uint64_t>(parts.v6);
-    table.v6_long = layered_family<v6_key>(parts.v6_long);
+    table.v4 = layered_block_table<std::uint32_t>(parts.v4);
+    table.v6 = layered_block_table<std::uint64_t>(parts.v6);
+    table.v6_long = layered_block_table<v6_key>(parts.v6_long);
     return table;
 }
 
@@ -120,36 +120,38 @@
     return this->v6.find(address.v6().high);
 }
 
-absl::StatusOr<block_table> block_table::with(block_delta const& delta) const
+absl::StatusOr<block_table>
+block_table::with_changes(block_delta const& delta) const
 {
-    table_change change{family_change(this->v4), family_change(this->v6),
-                        family_change(this->v6_long)};
+    table_change change{layered_table_change(this->v4),
+                        layered_table_change(this->v6),
+                        layered_table_change(this->v6_long)};
     for (address_block const& block : delta.removed)
     {
-        bool const was_there =
-            with_part(change, block,
-                      [&block](auto& part, auto const& start)
-                      {
-                          return part.remove(start, block.length());
-                      });
-        if (!was_there)
+        bool const was_present =
+            visit_part(change, block,
+                       [&block](auto& part, auto const& start)
+                       {
+                           return part.remove(start, block.length());
+                       });
+        if (!was_present)
         {
-            return absent(block);
+            return not_found_error(block);
         }
     }
-    for (valued_block const& each : delta.set)
+    for (valued_block const& entry : delta.set)
     {
-        absl::Status status = check_value(each);
+        absl::Status status = check_value(entry);
         if (!status.ok())
         {
             return status;
         }
-        packed_block const packed(each.block.length(), each.value);
-        with_part(change, each.block,
-                  [&packed](auto& part, auto const& start)
-                  {
-                      part.set(start, packed);
-                  });
+        packed_block const packed(entry.block.length(), entry.value);
+        visit_part(change, entry.block,
+                   [&packed](auto& part, auto const& start)
+                   {
+                       part.set(start, packed);
+                   });
     }
     absl::Status status = change.v4.finish();
     status.Update(change.v6.finish());
@@ -168,9 +170,9 @@
 block_table block_table::compacted() const
 {
     block_table table;
-    table.v4 = layered_family<std::uint32_t>(this->v4.all());
-    table.v6 = layered_family<std::uint64_t>(this->v6.all());
-    table.v6_long = layered_family<v6_key>(this->v6_long.all());
+    table.v4 = layered_block_table<std::uint32_t>(this->v4.merged_entries());
+    table.v6 = layered_block_table<std::uint64_t>(this->v6.merged_entries());
+    table.v6_long = layered_block_table<v6_key>(this->v6_long.merged_entries());
     return table;
 }
 
@@ -179,7 +181,7 @@
     return this->v4.size() + this->v6.size() + this->v6_long.size();
 }
 
-std::size_t block_table::changed_blocks() const
+std::size_t block_table::overlay_size() const
 {
     return this->v4.overlay_size() + this->v6.overlay_size() +
            this->v6_long.overlay_size();
--- a/bilberrylead/steering/block_table.hpp
+++ b/bilberrylead/steering/block_table.hpp
@@ -4,7 +4,7 @@
 #include "bilberrylead/steering/block_delta.hpp"
 #include "bilberrylead/steering/block_match.hpp"
 #include "bilberrylead/steering/ip_address.hpp"
-#include "bilberrylead/steering/layered_family.hpp"
+#include "bilberrylead/steering/layered_block_table.hpp"
 
 #include <absl/status/statusor.h>
 
@@ -35,27 +35,27 @@
     std::optional<block_match> find(ip_address const& address) const;
 
     /// The table after a change. Costs time by the size of the change and
-    /// of those before it (see changed_blocks), not of the table. A removed
+    /// of those before it (see overlay_size), not of the table. A removed
     /// block that isn't there is an error that names it.
-    absl::StatusOr<block_table> with(block_delta const& delta) const;
+    absl::StatusOr<block_table> with_changes(block_delta const& delta) const;
     /// The same blocks without what earlier changes left behind. Costs time
-    /// by the size of the table; due when changed_blocks() has grown to
+    /// by the size of the table; due when overlay_size() has grown to
     /// some thousands, on a thread that answers no callers.
     block_table compacted() const;
 
     /// Blocks in force.
     std::size_t size() const;
     /// Blocks that changes have put beside the main table.
-    std::size_t changed_blocks() const;
+    std::size_t overlay_size() const;
     /// Bytes of memory held, what is shared with other tables included.
     std::size_t bytes_held() const;
 
 private:
-    layered_family<std::uint32_t> v4;
+    layered_block_table<std::uint32_t> v4;
     /// IPv6 blocks of up to 64 bits, which nearly all are; half the size.
-    layered_family<std::uint64_t> v6;
+    layered_block_table<std::uint64_t> v6;
     /// IPv6 blocks of more than 64 bits.
-    layered_family<v6_key> v6_long;
+    layered_block_table<v6_key> v6_long;
 };
 
 } // namespace bilberrylead::steering
--- a/bilberrylead/steering/ip_address.cpp
+++ b/bilberrylead/steering/ip_address.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-std::uint64_t from_network_order(std::uint8_t const* input)
+std::uint64_t read_network_order(std::uint8_t const* input)
 {
     std::uint64_t number = 0;
     for (std::size_t i = 0; i < sizeof(number); ++i)
@@ -24,7 +24,7 @@
     return number;
 }
 
-void put_network_order(std::uint64_t number, std::uint8_t* output)
+void write_network_order(std::uint64_t number, std::uint8_t* output)
 {
     for (std::size_t i = sizeof(number); i-- > 0; number >>= 8U)
     {
@@ -57,8 +57,8 @@
     std::array<std::uint8_t, 16> v6{};
     if (::inet_pton(AF_INET6, text.c_str(), v6.data()) == 1)
     {
-        return ip_address(v6_key{from_network_order(v6.data()),
-                                 from_network_order(v6.data() + 8)});
+        return ip_address(v6_key{read_network_order(v6.data()),
+                                 read_network_order(v6.data() + 8)});
     }
     return make_error(error_kind::bad_value,
                       fmt::format("\"{}\" is not an IP address.", text),
@@ -75,8 +75,8 @@
         return text.data();
     }
     std::array<std::uint8_t, 16> address{};
-    put_network_order(this->v6().high, address.data());
-    put_network_order(this->v6().low, address.data() + 8);
+    write_network_order(this->v6().high, address.data());
+    write_network_order(this->v6().low, address.data() + 8);
     ::inet_ntop(AF_INET6, address.data(), text.data(), text.size());
     return text.data();
 }
--- a/bilberrylead/steering/large_pages.cpp
+++ b/bilberrylead/steering/large_pages.cpp
@@ -12,10 +12,10 @@
 namespace
 {
 
-constexpr std::size_t large_page = std::size_t{2} << 20U;
-constexpr std::size_t cache_line = 64;
+constexpr std::size_t large_page_bytes = std::size_t{2} << 20U;
+constexpr std::size_t cache_line_bytes = 64;
 
-std::size_t rounded_up(std::size_t size, std::size_t unit)
+std::size_t round_up(std::size_t size, std::size_t unit)
 {
     return (size + unit - 1) / unit * unit;
 }
@@ -25,10 +25,10 @@
 void* allocate_large(std::size_t size, std::size_t alignment)
 {
     // Below some pages the rounding would cost more than it brings.
-    bool const is_large = size >= 4 * large_page;
+    bool const is_large = size >= 4 * large_page_bytes;
     std::size_t const unit =
-        is_large ? large_page : std::max(alignment, cache_line);
-    void* const memory = std::aligned_alloc(unit, rounded_up(size, unit));
+        is_large ? large_page_bytes : std::max(alignment, cache_line_bytes);
+    void* const memory = std::aligned_alloc(unit, round_up(size, unit));
     if (memory == nullptr)
     {
         throw std::bad_alloc();
@@ -37,7 +37,7 @@
     {
         // Only advice; without it the table is slower and no less right.
         static_cast<void>(
-            ::madvise(memory, rounded_up(size, unit), MADV_HUGEPAGE));
+            ::madvise(memory, round_up(size, unit), MADV_HUGEPAGE));
     }
     return memory;
 }
--- a/bilberrylead/steering/layered_family.hpp
+++ b/bilberrylead/steering/layered_block_table.hpp
@@ -1,9 +1,9 @@
-#ifndef BILBERRYLEAD_STEERING_LAYERED_FAMILY_HPP
-#define BILBERRYLEAD_STEERING_LAYERED_FAMILY_HPP
+#ifndef BILBERRYLEAD_STEERING_LAYERED_BLOCK_TABLE_HPP
+#define BILBERRYLEAD_STEERING_LAYERED_BLOCK_TABLE_HPP
 
 #include "bilberrylead/steering/block_entry.hpp"
 #include "bilberrylead/steering/block_match.hpp"
-#include "bilberrylead/steering/family_table.hpp"
+#include "bilberrylead/steering/sorted_block_table.hpp"
 
 #include <cstddef>
 #include <cstdint>
@@ -18,24 +18,24 @@
 /// a small overlay of what changed since. A change copies the overlay and a
 /// bit for each base block, never the base.
 template <class Key>
-class layered_family
+class layered_block_table
 {
 public:
     /// No blocks.
-    layered_family() : base(std::make_shared<table>())
+    layered_block_table() : base(std::make_shared<table>())
     {
     }
 
     /// Takes blocks that are sorted by sorts_before and differ.
-    explicit layered_family(std::vector<block_entry<Key>> const& sorted)
-        : base(std::make_shared<table>(sorted)), live(sorted.size())
+    explicit layered_block_table(std::vector<block_entry<Key>> const& sorted)
+        : base(std::make_shared<table>(sorted)), live_count(sorted.size())
     {
     }
 
     /// The longest block that holds the address. No lock, no allocation.
     std::optional<block_match> find(Key const& address) const
     {
-        std::optional<block_match> best = match_of(
+        std::optional<block_match> base_match = make_match(
             *this->base, this->base->find(address,
                                           [this](std::uint32_t position)
                                           {
@@ -43,22 +43,22 @@
                                           }));
         if (this->overlay.size() == 0)
         {
-            return best;
+            return base_match;
         }
-        std::optional<block_match> const newer =
-            match_of(this->overlay, this->overlay.find(address,
-                                                       [](std::uint32_t)
-                                                       {
-                                                           return false;
-                                                       }));
-        bool const is_longer =
-            newer.has_value() &&
-            (!best.has_value() || newer->length > best->length);
-        return is_longer ? newer : best;
+        std::optional<block_match> const overlay_match =
+            make_match(this->overlay, this->overlay.find(address,
+                                                         [](std::uint32_t)
+                                                         {
+                                                             return false;
+                                                         }));
+        bool const is_longer = overlay_match.has_value() &&
+                               (!base_match.has_value() ||
+                                overlay_match->length > base_match->length);
+        return is_longer ? overlay_match : base_match;
     }
 
     /// The overlay's blocks, for a change that starts from them.
-    std::vector<block_entry<Key>> changed() const
+    std::vector<block_entry<Key>> overlay_entries() const
     {
         std::vector<block_entry<Key>> entries;
         entries.reserve(this->overlay.size());
@@ -83,47 +83,47 @@
         }
         this->hidden[position / bits_per_word] |= std::uint64_t{1}
                                                   << (position % bits_per_word);
-        --this->live;
+        --this->live_count;
         return true;
     }
 
     /// Replaces the overlay by blocks that are sorted and differ.
-    void set_changed(std::vector<block_entry<Key>> const& sorted)
+    void set_overlay(std::vector<block_entry<Key>> const& sorted)
     {
-        this->live += sorted.size();
-        this->live -= this->overlay.size();
+        this->live_count += sorted.size();
+        this->live_count -= this->overlay.size();
         this->overlay = table(sorted);
     }
 
     /// All blocks in force, sorted.
-    std::vector<block_entry<Key>> all() const
+    std::vector<block_entry<Key>> merged_entries() const
     {
-        std::vector<block_entry<Key>> const newer = this->changed();
+        std::vector<block_entry<Key>> const changed = this->overlay_entries();
         std::vector<block_entry<Key>> entries;
-        entries.reserve(this->live);
-        auto next = newer.begin();
+        entries.reserve(this->live_count);
+        auto next = changed.begin();
         for (std::uint32_t i = 0; i < this->base->size(); ++i)
         {
             if (this->is_hidden(i))
             {
                 continue;
             }
-            block_entry<Key> const older{this->base->start(i),
-                                         this->base->block(i)};
-            while (next != newer.end() && sorts_before(*next, older))
+            block_entry<Key> const base_entry{this->base->start(i),
+                                              this->base->block(i)};
+            while (next != changed.end() && sorts_before(*next, base_entry))
             {
                 entries.push_back(*next++);
             }
-            entries.push_back(older);
+            entries.push_back(base_entry);
         }
-        entries.insert(entries.end(), next, newer.end());
+        entries.insert(entries.end(), next, changed.end());
         return entries;
     }
 
     /// Blocks in force.
     std::size_t size() const
     {
-        return this->live;
+        return this->live_count;
     }
 
     /// Blocks in the overlay.
@@ -140,7 +140,7 @@
     }
 
 private:
-    using table = family_table<Key>;
+    using table = sorted_block_table<Key>;
     static constexpr std::size_t bits_per_word = 64;
 
     bool is_hidden(std::uint32_t position) const
@@ -151,8 +151,8 @@
                 1U) != 0;
     }
 
-    static std::optional<block_match> match_of(table const& blocks,
-                                               std::uint32_t position)
+    static std::optional<block_match> make_match(table const& blocks,
+                                                 std::uint32_t position)
     {
         if (position == table::none)
         {
@@ -165,7 +165,7 @@
     std::shared_ptr<table const> base;
     std::vector<std::uint64_t> hidden;
     table overlay;
-    std::size_t live = 0;
+    std::size_t live_count = 0;
 };
 
 } // namespace bilberrylead::steering
--- a/bilberrylead/steering/family_change.hpp
+++ b/bilberrylead/steering/layered_table_change.hpp
@@ -1,11 +1,11 @@
-#ifndef BILBERRYLEAD_STEERING_FAMILY_CHANGE_HPP
-#define BILBERRYLEAD_STEERING_FAMILY_CHANGE_HPP
+#ifndef BILBERRYLEAD_STEERING_LAYERED_TABLE_CHANGE_HPP
+#define BILBERRYLEAD_STEERING_LAYERED_TABLE_CHANGE_HPP
 
 #include "bilberrylead/core/error.hpp"
 #include "bilberrylead/steering/address_block.hpp"
 #include "bilberrylead/steering/block_entry.hpp"
 #include "bilberrylead/steering/ip_address.hpp"
-#include "bilberrylead/steering/layered_family.hpp"
+#include "bilberrylead/steering/layered_block_table.hpp"
 
 #include <absl/status/status.h>
 #include <fmt/format.h>
@@ -34,7 +34,7 @@
 
 /// True if both are the same block, whatever they stand for.
 template <class Key>
-bool is_same_block(block_entry<Key> const& left, block_entry<Key> const& right)
+bool is_same_prefix(block_entry<Key> const& left, block_entry<Key> const& right)
 {
     return left.start == right.start &&
            left.block.length() == right.block.length();
@@ -42,17 +42,17 @@
 
 /// Sorts blocks and refuses one that stands twice.
 template <class Key>
-absl::Status sort_unique(std::vector<block_entry<Key>>& entries)
+absl::Status sort_and_reject_duplicates(std::vector<block_entry<Key>>& entries)
 {
     std::sort(entries.begin(), entries.end(), sorts_before<Key>);
-    auto const twice =
-        std::adjacent_find(entries.begin(), entries.end(), is_same_block<Key>);
-    if (twice == entries.end())
+    auto const duplicate =
+        std::adjacent_find(entries.begin(), entries.end(), is_same_prefix<Key>);
+    if (duplicate == entries.end())
     {
         return absl::OkStatus();
     }
-    address_block const block = address_block::around(
-        full_address(twice->start), twice->block.length());
+    address_block const block = address_block::containing(
+        full_address(duplicate->start), duplicate->block.length());
     return make_error(error_kind::duplicate_name,
                       fmt::format("Block {} stands twice.", block.to_string()),
                       "Remove one of the two.");
@@ -60,41 +60,42 @@
 
 /// Changes to the blocks of one kind, collected before they take effect.
 template <class Key>
-class family_change
+class layered_table_change
 {
 public:
     /// Starts from what is in force.
-    explicit family_change(layered_family<Key> const& before)
-        : after(before), entries(before.changed())
+    explicit layered_table_change(layered_block_table<Key> const& current)
+        : updated(current), overlay_entries(current.overlay_entries())
     {
     }
 
     /// Removes a block; false if it isn't there.
     bool remove(Key const& start, unsigned length)
     {
-        block_entry<Key> const wanted{start, {length, 0}};
-        auto const found =
-            std::lower_bound(this->entries.begin(), this->entries.end(), wanted,
-                             sorts_before<Key>);
-        if (found != this->entries.end() && is_same_block(*found, wanted))
+        block_entry<Key> const target{start, {length, 0}};
+        auto const found = std::lower_bound(this->overlay_entries.begin(),
+                                            this->overlay_entries.end(), target,
+                                            sorts_before<Key>);
+        if (found != this->overlay_entries.end() &&
+            is_same_prefix(*found, target))
         {
-            this->entries.erase(found);
+            this->overlay_entries.erase(found);
             return true;
         }
-        return this->after.hide(start, length);
+        return this->updated.hide(start, length);
     }
 
     /// Adds a block or changes what it stands for; after all removals.
     void set(Key const& start, packed_block block)
     {
-        this->after.hide(start, block.length());
-        this->newer.push_back({start, block});
+        this->updated.hide(start, block.length());
+        this->changed_entries.push_back({start, block});
     }
 
     /// Puts the changes together. Refuses a block that is set twice.
     absl::Status finish()
     {
-        absl::Status status = sort_unique(this->newer);
+        absl::Status status = sort_and_reject_duplicates(this->changed_entries);
         if (!status.ok())
         {
             return status;
@@ -102,24 +103,26 @@
         // Of equal blocks the union takes the first list's: a block that
         // changes again replaces its earlier change.
         std::vector<block_entry<Key>> merged;
-        merged.reserve(this->entries.size() + this->newer.size());
-        std::set_union(this->newer.begin(), this->newer.end(),
-                       this->entries.begin(), this->entries.end(),
-                       std::back_inserter(merged), sorts_before<Key>);
-        this->after.set_changed(merged);
+        merged.reserve(this->overlay_entries.size() +
+                       this->changed_entries.size());
+        std::set_union(
+            this->changed_entries.begin(), this->changed_entries.end(),
+            this->overlay_entries.begin(), this->overlay_entries.end(),
+            std::back_inserter(merged), sorts_before<Key>);
+        this->updated.set_overlay(merged);
         return absl::OkStatus();
     }
 
     /// The blocks after the change; once, after finish().
-    layered_family<Key> result() &&
+    layered_block_table<Key> result() &&
     {
-        return std::move(this->after);
+        return std::move(this->updated);
     }
 
 private:
-    layered_family<Key> after;
-    std::vector<block_entry<Key>> entries;
-    std::vector<block_entry<Key>> newer;
+    layered_block_table<Key> updated;
+    std::vector<block_entry<Key>> overlay_entries;
+    std::vector<block_entry<Key>> changed_entries;
 };
 
 } // namespace bilberrylead::steering
--- a/bilberrylead/steering/family_table.hpp
+++ b/bilberrylead/steering/sorted_block_table.hpp
@@ -1,7 +1,7 @@
-#ifndef BILBERRYLEAD_STEERING_FAMILY_TABLE_HPP
-#define BILBERRYLEAD_STEERING_FAMILY_TABLE_HPP
+#ifndef BILBERRYLEAD_STEERING_SORTED_BLOCK_TABLE_HPP
+#define BILBERRYLEAD_STEERING_SORTED_BLOCK_TABLE_HPP
 
-#include "bilberrylead/steering/address_key.hpp"
+#include "bilberrylead/steering/address_key_traits.hpp"
 #include "bilberrylead/steering/block_entry.hpp"
 #include "bilberrylead/steering/large_pages.hpp"
 #include "bilberrylead/steering/v6_key.hpp"
@@ -32,7 +32,7 @@
 /// hold every leaf's first key, then every 32nd (16th) of those, and so on,
 /// and are small enough to stay near the core.
 template <class Key>
-class family_table
+class sorted_block_table
 {
 public:
     /// No block.
@@ -40,10 +40,10 @@
         std::numeric_limits<std::uint32_t>::max();
 
     /// An empty table.
-    family_table() = default;
+    sorted_block_table() = default;
 
     /// Takes blocks that are sorted by sorts_before and differ.
-    explicit family_table(std::vector<block_entry<Key>> const& sorted)
+    explicit sorted_block_table(std::vector<block_entry<Key>> const& sorted)
         : count(sorted.size())
     {
         this->fill_leaves(sorted);
@@ -52,34 +52,36 @@
 
     /// Position of the longest block that holds the address and for which
     /// `skipped(position)` is false, or none.
-    template <class Skipped>
-    std::uint32_t find(Key const& address, Skipped const& skipped) const
+    template <class IsSkipped>
+    std::uint32_t find(Key const& address, IsSkipped const& is_skipped) const
     {
-        std::uint32_t const nearest = this->last_not_after(address);
-        if (nearest == none)
+        std::uint32_t const predecessor = this->find_predecessor(address);
+        if (predecessor == none)
         {
             return none;
         }
         unsigned const common =
-            traits::common_bits(address, this->start(nearest));
-        if (this->block(nearest).length() <= common && !skipped(nearest))
+            traits::common_prefix_length(address, this->start(predecessor));
+        if (this->block(predecessor).length() <= common &&
+            !is_skipped(predecessor))
         {
-            return nearest;
+            return predecessor;
         }
-        length_set around = this->around(nearest) & up_to(common);
-        while (around != 0)
+        length_set candidates =
+            this->enclosing_lengths(predecessor) & lengths_up_to(common);
+        while (candidates != 0)
         {
             unsigned const bit =
-                static_cast<unsigned>(std::bit_width(around)) - 1;
-            unsigned const length = traits::shortest + bit;
+                static_cast<unsigned>(std::bit_width(candidates)) - 1;
+            unsigned const length = traits::min_length + bit;
             std::uint32_t const found =
                 this->find_exact(truncated(address, length), length);
             assert(found != none);
-            if (!skipped(found))
+            if (!is_skipped(found))
             {
                 return found;
             }
-            around ^= length_set{1} << bit;
+            candidates ^= length_set{1} << bit;
         }
         return none;
     }
@@ -87,7 +89,7 @@
     /// Position of this very block, or none.
     std::uint32_t find_exact(Key const& start, unsigned length) const
     {
-        std::uint32_t position = this->last_not_after(start);
+        std::uint32_t position = this->find_predecessor(start);
         while (position != none && this->start(position) == start &&
                this->block(position).length() > length)
         {
@@ -125,21 +127,21 @@
     }
 
 private:
-    using traits = address_key<Key>;
+    using traits = address_key_traits<Key>;
     using length_set = typename traits::length_set;
 
-    static constexpr std::size_t cache_line = 64;
+    static constexpr std::size_t cache_line_bytes = 64;
     /// Large enough that the keys above all leaves, 4 or 8 bytes each, stay
     /// in a core's own cache at 4.1 million blocks.
     static constexpr std::size_t leaf_bytes = sizeof(Key) == 4 ? 256 : 512;
     static constexpr std::size_t leaf_size =
         leaf_bytes / (sizeof(Key) + sizeof(packed_block) + sizeof(length_set));
     /// The part of a leaf that holds first addresses, lengths and values.
-    static constexpr std::size_t usual_bytes =
+    static constexpr std::size_t prefetched_bytes =
         leaf_size * (sizeof(Key) + sizeof(packed_block));
     /// Keys compared on each level above: two cache lines.
     static constexpr std::size_t fan_out = sizeof(Key) == 4 ? 32 : 16;
-    static constexpr std::size_t most_levels = 12;
+    static constexpr std::size_t max_levels = 12;
 
     /// Neighbouring blocks. Its lines are asked for at once, so that the end
     /// of a search waits for memory once.
@@ -147,32 +149,33 @@
     {
         std::array<Key, leaf_size> starts;
         std::array<packed_block, leaf_size> blocks;
-        std::array<length_set, leaf_size> around;
+        std::array<length_set, leaf_size> enclosing_lengths;
     };
     static_assert(sizeof(leaf) == leaf_bytes);
 
     template <class Value>
-    using flat = std::vector<Value, large_page_allocator<Value>>;
+    using large_page_vector = std::vector<Value, large_page_allocator<Value>>;
 
-    length_set around(std::uint32_t position) const
+    length_set enclosing_lengths(std::uint32_t position) const
     {
-        return this->leaves[position / leaf_size].around[position % leaf_size];
+        return this->leaves[position / leaf_size]
+            .enclosing_lengths[position % leaf_size];
     }
 
     /// The set of all lengths from the shortest to `longest`.
-    static length_set up_to(unsigned longest)
+    static length_set lengths_up_to(unsigned longest)
     {
-        if (longest < traits::shortest)
+        if (longest < traits::min_length)
         {
             return 0;
         }
-        unsigned const bits = longest - traits::shortest + 1;
+        unsigned const bits = longest - traits::min_length + 1;
         return bits >= std::numeric_limits<length_set>::digits
                    ? std::numeric_limits<length_set>::max()
                    : (length_set{1} << bits) - 1;
     }
 
-    static std::size_t divided(std::size_t size, std::size_t by)
+    static std::size_t ceil_divide(std::size_t size, std::size_t by)
     {
         return (size + by - 1) / by;
     }
@@ -180,73 +183,75 @@
     void fill_leaves(std::vector<block_entry<Key>> const& sorted)
     {
         leaf empty{};
-        empty.starts.fill(traits::last);
-        this->leaves.resize(divided(this->count, leaf_size), empty);
-        std::vector<std::uint32_t> open;
-        length_set around = 0;
+        empty.starts.fill(traits::max_address);
+        this->leaves.resize(ceil_divide(this->count, leaf_size), empty);
+        std::vector<std::uint32_t> enclosing_blocks;
+        length_set enclosing_lengths = 0;
         for (std::uint32_t i = 0; i < this->count; ++i)
         {
-            while (!open.empty() && !holds(sorted[open.back()], sorted[i]))
+            while (!enclosing_blocks.empty() &&
+                   !contains(sorted[enclosing_blocks.back()], sorted[i]))
             {
-                around ^= bit_of(sorted[open.back()]);
-                open.pop_back();
+                enclosing_lengths ^=
+                    length_bit(sorted[enclosing_blocks.back()]);
+                enclosing_blocks.pop_back();
             }
             leaf& target = this->leaves[i / leaf_size];
             target.starts[i % leaf_size] = sorted[i].start;
             target.blocks[i % leaf_size] = sorted[i].block;
-            target.around[i % leaf_size] = around;
-            around ^= bit_of(sorted[i]);
-            open.push_back(i);
+            target.enclosing_lengths[i % leaf_size] = enclosing_lengths;
+            enclosing_lengths ^= length_bit(sorted[i]);
+            enclosing_blocks.push_back(i);
         }
     }
 
     /// A block of the greatest length has no bit: none lies within it.
-    static length_set bit_of(block_entry<Key> const& entry)
+    static length_set length_bit(block_entry<Key> const& entry)
     {
-        unsigned const bit = entry.block.length() - traits::shortest;
+        unsigned const bit = entry.block.length() - traits::min_length;
         return bit >= std::numeric_limits<length_set>::digits
                    ? 0
                    : length_set{1} << bit;
     }
 
-    static bool holds(block_entry<Key> const& outer,
-                      block_entry<Key> const& inner)
+    static bool contains(block_entry<Key> const& outer,
+                         block_entry<Key> const& inner)
     {
         return outer.block.length() <=
-               traits::common_bits(outer.start, inner.start);
+               traits::common_prefix_length(outer.start, inner.start);
     }
 
     void fill_levels()
     {
         // The first key of each leaf, then of each group of those, and so
         // on; padded so that the search compares whole groups.
-        std::array<std::size_t, most_levels> sizes{};
+        std::array<std::size_t, max_levels> sizes{};
         std::size_t total = 0;
         for (std::size_t size = this->leaves.size(); size > 0;
-             size = size > fan_out ? divided(size, fan_out) : 0)
+             size = size > fan_out ? ceil_divide(size, fan_out) : 0)
         {
-            assert(this->level_count < most_levels);
+            assert(this->level_count < max_levels);
             sizes[this->level_count++] = size;
-            total += divided(size, fan_out) * fan_out;
+            total += ceil_divide(size, fan_out) * fan_out;
         }
         this->keys.reserve(total);
         std::size_t step = 1;
         for (std::size_t level = 0; level < this->level_count; ++level)
         {
             this->level_starts[level] = this->keys.size();
-            this->level_lasts[level] = sizes[level] - 1;
+            this->level_last_indices[level] = sizes[level] - 1;
             for (std::size_t i = 0; i < sizes[level]; ++i)
             {
                 this->keys.push_back(this->leaves[i * step].starts[0]);
             }
-            this->keys.resize(divided(this->keys.size(), fan_out) * fan_out,
-                              traits::last);
+            this->keys.resize(ceil_divide(this->keys.size(), fan_out) * fan_out,
+                              traits::max_address);
             step *= fan_out;
         }
     }
 
     /// Position of the last block that starts at or before the address.
-    std::uint32_t last_not_after(Key const& address) const
+    std::uint32_t find_predecessor(Key const& address) const
     {
         if (this->count == 0)
         {
@@ -259,53 +264,54 @@
         {
             Key const* const first =
                 this->keys.data() + this->level_starts[level] + group * fan_out;
-            std::size_t const not_after =
-                count_not_after<fan_out>(first, address);
-            if (not_after == 0)
+            std::size_t const not_greater =
+                count_not_greater<fan_out>(first, address);
+            if (not_greater == 0)
             {
                 return none;
             }
-            group = group * fan_out + not_after - 1;
-            group = std::min(group, this->level_lasts[level]);
+            group = group * fan_out + not_greater - 1;
+            group = std::min(group, this->level_last_indices[level]);
         }
         leaf const& found = this->leaves[group];
         prefetch(found);
-        std::size_t const not_after =
-            count_not_after<leaf_size>(found.starts.data(), address);
-        std::size_t const position = group * leaf_size + not_after - 1;
+        std::size_t const not_greater =
+            count_not_greater<leaf_size>(found.starts.data(), address);
+        std::size_t const position = group * leaf_size + not_greater - 1;
         return static_cast<std::uint32_t>(std::min(position, this->count - 1));
     }
 
     /// Asks for the lines of a leaf that most searches read, before the first
     /// is waited for. The others would only push the keys of the levels
     /// above out of the core's cache.
-    static void prefetch(leaf const& wanted)
+    static void prefetch(leaf const& target)
     {
-        char const* const first = reinterpret_cast<char const*>(&wanted);
-        for (std::size_t at = 0; at < usual_bytes; at += cache_line)
+        char const* const first = reinterpret_cast<char const*>(&target);
+        for (std::size_t offset = 0; offset < prefetched_bytes;
+             offset += cache_line_bytes)
         {
-            __builtin_prefetch(first + at);
+            __builtin_prefetch(first + offset);
         }
     }
 
     template <std::size_t Keys>
-    static std::size_t count_not_after(Key const* first, Key const& address)
+    static std::size_t count_not_greater(Key const* first, Key const& address)
     {
         // A narrow counter: it is as wide as a key where keys are compared
         // several at a time.
-        std::uint32_t not_after = 0;
+        std::uint32_t not_greater = 0;
         for (std::size_t i = 0; i < Keys; ++i)
         {
-            not_after += first[i] <= address ? 1U : 0U;
+            not_greater += first[i] <= address ? 1U : 0U;
         }
-        return not_after;
+        return not_greater;
     }
 
     std::size_t count = 0;
-    flat<leaf> leaves;
-    flat<Key> keys;
-    std::array<std::size_t, most_levels> level_starts{};
-    std::array<std::size_t, most_levels> level_lasts{};
+    large_page_vector<leaf> leaves;
+    large_page_vector<Key> keys;
+    std::array<std::size_t, max_levels> level_starts{};
+    std::array<std::size_t, max_levels> level_last_indices{};
     std::size_t level_count = 0;
 };
 
--- a/performance/block_slopes/block_slopes.cpp
+++ b/performance/block_slopes/block_slopes.cpp
@@ -72,15 +72,15 @@
         // From 1.0.0.0 to 223.255.255.255.
         std::uint32_t const address = static_cast<std::uint32_t>(
             (1 + random() % 223) << 24U | (random() & 0xFFFFFFU));
-        return address_block::around(ip_address(address),
-                                     v4_length(mix, random));
+        return address_block::containing(ip_address(address),
+                                         v4_length(mix, random));
     }
     // Within 2000::/3, in clusters as registries hand them out.
     std::uint64_t const cluster = random() % 4'000;
     std::uint64_t const high =
         std::uint64_t{0x2000} << 48U | cluster << 45U | (random() >> 19U);
-    return address_block::around(ip_address(v6_key{high, 0}),
-                                 v6_length(mix, random));
+    return address_block::containing(ip_address(v6_key{high, 0}),
+                                     v6_length(mix, random));
 }
 
 std::vector<valued_block> random_blocks(block_mix const& mix, std::size_t count,
@@ -270,12 +270,12 @@
                 {blocks[i].block, static_cast<block_value>(i % sites)});
         }
         block_table changed;
-        change.add(size, least_nanoseconds_of(3,
-                                              [&]
-                                              {
-                                                  changed =
-                                                      table.with(delta).value();
-                                              }));
+        change.add(size, least_nanoseconds_of(
+                             3,
+                             [&]
+                             {
+                                 changed = table.with_changes(delta).value();
+                             }));
         look_up.add(size, time_look_ups(changed, callers).median);
         if (size == 40'000U)
         {
--- a/tests/unit/steering/block_table_test.cpp
+++ b/tests/unit/steering/block_table_test.cpp
@@ -41,7 +41,7 @@
         for (unsigned length = bits + 1; length-- > 0;)
         {
             auto const found =
-                this->blocks.find(address_block::around(address, length));
+                this->blocks.find(address_block::containing(address, length));
             if (found != this->blocks.end())
             {
                 return block_match{found->second, length};
@@ -63,32 +63,32 @@
 };
 
 /// Few address bits vary, so that blocks nest, touch and share starts.
-ip_address crowded_address(std::mt19937_64& random)
+ip_address clustered_address(std::mt19937_64& random)
 {
     std::uint64_t const bits = random();
-    std::uint64_t const few = bits & 0xF0F0'0000'0000'00FFU;
+    std::uint64_t const varying = bits & 0xF0F0'0000'0000'00FFU;
     if (bits % 2 == 0)
     {
-        return ip_address(static_cast<std::uint32_t>(few >> 32U | few));
+        return ip_address(static_cast<std::uint32_t>(varying >> 32U | varying));
     }
-    return ip_address(v6_key{few, random() & 0xF000'0000'0000'0003U});
+    return ip_address(v6_key{varying, random() & 0xF000'0000'0000'0003U});
 }
 
-address_block crowded_block(std::mt19937_64& random)
+address_block clustered_block(std::mt19937_64& random)
 {
-    ip_address const address = crowded_address(random);
+    ip_address const address = clustered_address(random);
     unsigned const bits = address.is_v4() ? v4_bits : v6_bits;
-    return address_block::around(address,
-                                 static_cast<unsigned>(random() % (bits + 1)));
+    return address_block::containing(
+        address, static_cast<unsigned>(random() % (bits + 1)));
 }
 
-void compare(block_table const& table, naive_table const& naive,
-             std::mt19937_64& random, unsigned seed)
+void expect_same_results(block_table const& table, naive_table const& naive,
+                         std::mt19937_64& random, unsigned seed)
 {
     cr_assert_eq(table.size(), naive.blocks.size(), "seed %u", seed);
     for (int i = 0; i < 300; ++i)
     {
-        ip_address const address = crowded_address(random);
+        ip_address const address = clustered_address(random);
         cr_assert(table.find(address) == naive.find(address), "seed %u", seed);
     }
     for (auto const& [block, value] : naive.blocks)
@@ -100,7 +100,7 @@
 
 } // namespace
 
-Test(block_table, nested_blocks_when_asked_answer_the_longest)
+Test(block_table, nested_blocks_when_queried_return_the_longest)
 {
     std::vector<valued_block> const blocks = {
         {block_of("10.0.0.0/8"), 1},         {block_of("10.1.0.0/16"), 2},
@@ -138,7 +138,7 @@
     cr_assert_not(block_table().find(address_of("10.0.0.1")).has_value());
 }
 
-Test(block_table, faulty_blocks_when_built_are_named)
+Test(block_table, invalid_blocks_when_built_are_named_in_the_error)
 {
     std::vector<valued_block> const twice = {{block_of("10.0.0.0/8"), 1},
                                              {block_of("10.0.0.0/9"), 1},
@@ -149,7 +149,7 @@
               std::string::npos);
 
     std::vector<valued_block> const large = {
-        {block_of("2001:db8::/32"), largest_block_value}};
+        {block_of("2001:db8::/32"), block_value_limit}};
     absl::Status const too_large = block_table::build(large).status();
     cr_assert(kind_of(too_large) == error_kind::no_room);
     cr_assert(std::string(too_large.message()).find("2001:db8::/32") !=
@@ -165,7 +165,7 @@
     }
 }
 
-Test(address_block, faulty_texts_when_parsed_are_refused_with_the_remedy)
+Test(address_block, invalid_texts_when_parsed_are_rejected)
 {
     for (char const* text :
          {"", "/", "10.0.0.0", "10.0.0.0/", "10.0.0.0/33", "10.0.0.0/-1",
@@ -181,7 +181,7 @@
 // between, again and again, now and then followed by a compaction. At every
 // step each caller gets what a plain search of all blocks answers: an
 // answer from a removed block would send it to a zone that was taken away.
-Test(block_table, random_changes_when_applied_equal_a_plain_search)
+Test(block_table, random_changes_when_applied_match_a_linear_search)
 {
     for (unsigned seed = 1; seed <= 40; ++seed)
     {
@@ -189,11 +189,11 @@
         naive_table naive;
         for (int i = 0; i < 400; ++i)
         {
-            naive.blocks[crowded_block(random)] =
+            naive.blocks[clustered_block(random)] =
                 static_cast<block_value>(random() % 1'000);
         }
         block_table table = block_table::build(naive.all()).value();
-        compare(table, naive, random, seed);
+        expect_same_results(table, naive, random, seed);
         for (int change = 0; change < 12; ++change)
         {
             block_delta delta;
@@ -207,7 +207,7 @@
             std::map<address_block, block_value> set;
             for (int i = 0; i < 20; ++i)
             {
-                set[crowded_block(random)] =
+                set[clustered_block(random)] =
                     static_cast<block_value>(random() % 1'000);
             }
             for (address_block const& block : delta.removed)
@@ -219,19 +219,19 @@
                 delta.set.push_back({block, value});
                 naive.blocks[block] = value;
             }
-            table = table.with(delta).value();
-            compare(table, naive, random, seed);
+            table = table.with_changes(delta).value();
+            expect_same_results(table, naive, random, seed);
             if (change % 5 == 4)
             {
                 table = table.compacted();
-                cr_assert_eq(table.changed_blocks(), 0);
-                compare(table, naive, random, seed);
+                cr_assert_eq(table.overlay_size(), 0);
+                expect_same_results(table, naive, random, seed);
             }
         }
     }
 }
 
-Test(block_table, faulty_change_when_applied_leaves_the_table_as_it_was)
+Test(block_table, invalid_change_when_applied_leaves_the_table_unchanged)
 {
     std::vector<valued_block> const blocks = {{block_of("10.0.0.0/8"), 1}};
     block_table const table = block_table::build(blocks).value();
@@ -240,10 +240,11 @@
         {}, {{block_of("11.0.0.0/8"), 1}, {block_of("11.0.0.0/8"), 2}}};
     block_delta const removed_twice{
         {block_of("10.0.0.0/8"), block_of("10.0.0.0/8")}, {}};
-    cr_assert(kind_of(table.with(absent).status()) == error_kind::unknown_name);
-    cr_assert(kind_of(table.with(twice).status()) ==
+    cr_assert(kind_of(table.with_changes(absent).status()) ==
+              error_kind::unknown_name);
+    cr_assert(kind_of(table.with_changes(twice).status()) ==
               error_kind::duplicate_name);
-    cr_assert(kind_of(table.with(removed_twice).status()) ==
+    cr_assert(kind_of(table.with_changes(removed_twice).status()) ==
               error_kind::unknown_name);
     cr_assert_eq(table.size(), 1);
     cr_assert(table.find(address_of("10.0.0.1")).has_value());
