--- a/bilberrylead/steering/address_block.cpp
+++ b/bilberrylead/steering/address_block.cpp
@@ -42,17 +42,17 @@
     {
         return make_error(
             error_kind::bad_value,
-            fmt::format("\"{}\" is not a block of addresses.", text),
-            "Write it like 10.1.0.0/16 or 2001:db8::/32.");
+            fmt::format("\"{}\" is not an address block.", text),
+            "Use CIDR notation, for example 10.1.0.0/16 or 2001:db8::/32.");
     }
     address_block const block = containing(*address, *length);
     if (block.first() != *address)
     {
         return make_error(
             error_kind::bad_value,
-            fmt::format("\"{}\" has bits set after the first {}.", text,
-                        *length),
-            "Write the block's first address, or a longer prefix.");
+            fmt::format("\"{}\" has bits set beyond its prefix length {}.",
+                        text, *length),
+            "Use the first address of the block, or a longer prefix.");
     }
     return block;
 }
--- a/bilberrylead/steering/address_block.hpp
+++ b/bilberrylead/steering/address_block.hpp
@@ -11,22 +11,23 @@
 namespace bilberrylead::steering
 {
 
-/// A block of addresses that start with the same bits.
+/// A block of IP addresses that share a prefix.
 class address_block
 {
 public:
-    /// Reads CIDR form, for example 10.1.0.0/16 or 2001:db8::/32. Refuses a
-    /// length beyond the family's and an address with bits set after it.
+    /// Parses CIDR notation, for example 10.1.0.0/16 or 2001:db8::/32.
+    /// Returns error_kind::bad_value if the prefix length exceeds that of the
+    /// address family, or if the address has bits set beyond the prefix.
     static absl::StatusOr<address_block> parse(std::string const& text);
-    /// Makes a block of the addresses that share the first `length` bits
-    /// with `address`; `length` is 0 to 32 or 0 to 128.
+    /// Returns the block of all addresses that share the first `length` bits
+    /// with `address`; `length` is 0 to 32 for IPv4 and 0 to 128 for IPv6.
     static address_block containing(ip_address const& address, unsigned length);
 
-    /// CIDR form.
+    /// Returns the block in CIDR notation.
     std::string to_string() const;
-    /// The first address.
+    /// Returns the lowest address of the block.
     ip_address const& first() const;
-    /// Bits that are the same in all.
+    /// Returns the prefix length in bits.
     unsigned length() const;
 
     friend auto operator<=>(address_block const&,
--- a/bilberrylead/steering/address_key_traits.hpp
+++ b/bilberrylead/steering/address_key_traits.hpp
@@ -10,23 +10,24 @@
 namespace bilberrylead::steering
 {
 
-/// What a table of blocks needs to know of its addresses.
+/// Properties of the key type that a block table stores addresses as.
 template <class Key>
 struct address_key_traits;
 
-/// IPv4 blocks.
+/// Traits of IPv4 blocks.
 template <>
 struct address_key_traits<std::uint32_t>
 {
-    /// Holds a bit for each length that a surrounding block can have.
+    /// Bit set with a bit for each prefix length that an enclosing block
+    /// can have.
     using length_set = std::uint32_t;
-    /// Shortest block.
+    /// Smallest prefix length, in bits.
     static constexpr unsigned min_length = 0;
-    /// Comes after every other address, or equals it.
+    /// Greatest address: no address compares greater.
     static constexpr std::uint32_t max_address =
         std::numeric_limits<std::uint32_t>::max();
 
-    /// First bits that both addresses share.
+    /// Returns the number of leading bits that both addresses share.
     static unsigned common_prefix_length(std::uint32_t left,
                                          std::uint32_t right)
     {
@@ -34,19 +35,21 @@
     }
 };
 
-/// IPv6 blocks of up to 64 bits, by the upper half of their addresses.
+/// Traits of IPv6 blocks with a prefix of up to 64 bits, which are stored as
+/// the upper half of their addresses.
 template <>
 struct address_key_traits<std::uint64_t>
 {
-    /// Holds a bit for each length that a surrounding block can have.
+    /// Bit set with a bit for each prefix length that an enclosing block
+    /// can have.
     using length_set = std::uint64_t;
-    /// Shortest block.
+    /// Smallest prefix length, in bits.
     static constexpr unsigned min_length = 0;
-    /// Comes after every other address, or equals it.
+    /// Greatest address: no address compares greater.
     static constexpr std::uint64_t max_address =
         std::numeric_limits<std::uint64_t>::max();
 
-    /// First bits that both addresses share.
+    /// Returns the number of leading bits that both addresses share.
     static unsigned common_prefix_length(std::uint64_t left,
                                          std::uint64_t right)
     {
@@ -54,20 +57,21 @@
     }
 };
 
-/// IPv6 blocks of more than 64 bits.
+/// Traits of IPv6 blocks with a prefix of more than 64 bits.
 template <>
 struct address_key_traits<v6_key>
 {
-    /// Holds a bit for each length that a surrounding block can have.
+    /// Bit set with a bit for each prefix length that an enclosing block
+    /// can have.
     using length_set = std::uint64_t;
-    /// Shortest block.
+    /// Smallest prefix length, in bits.
     static constexpr unsigned min_length = 65;
-    /// Comes after every other address, or equals it.
+    /// Greatest address: no address compares greater.
     static constexpr v6_key max_address = {
         std::numeric_limits<std::uint64_t>::max(),
         std::numeric_limits<std::uint64_t>::max()};
 
-    /// First bits that both addresses share.
+    /// Returns the number of leading bits that both addresses share.
     static unsigned common_prefix_length(v6_key left, v6_key right)
     {
         std::uint64_t const high = left.high ^ right.high;
--- a/bilberrylead/steering/block_delta.hpp
+++ b/bilberrylead/steering/block_delta.hpp
@@ -9,22 +9,22 @@
 namespace bilberrylead::steering
 {
 
-/// A block and what it stands for.
+/// A block and the value assigned to it.
 struct valued_block
 {
-    /// The addresses.
+    /// The address block.
     address_block block;
-    /// What they stand for.
+    /// The value that a look-up of its addresses returns.
     block_value value = 0;
 };
 
-/// What changes between two revisions of a block table. Applied in order:
-/// first the removals.
+/// Difference between two revisions of a block table. The removals are
+/// applied before the additions.
 struct block_delta
 {
-    /// Blocks that are no longer there; each must be there before.
+    /// Blocks to remove; each must be in the table.
     std::vector<address_block> removed;
-    /// Blocks that are new or stand for something else.
+    /// Blocks to add, and blocks whose value changes.
     std::vector<valued_block> set;
 };
 
--- a/bilberrylead/steering/block_entry.hpp
+++ b/bilberrylead/steering/block_entry.hpp
@@ -6,33 +6,35 @@
 namespace bilberrylead::steering
 {
 
-/// Number that a block stands for, below block_value_limit: the index of
-/// its zone and labels, which many blocks share.
+/// Value of a block, below block_value_limit: the index of its zone and
+/// labels, which many blocks share.
 using block_value = std::uint32_t;
 
-/// First number that is too large for a block_value.
+/// Exclusive upper bound of a block_value, so that value and prefix length
+/// fit into 32 bits.
 inline constexpr block_value block_value_limit = 1U << 24U;
 
-/// Length and value of a block in four bytes.
+/// Prefix length and value of a block, packed into 32 bits: the length in
+/// the upper 8, the value in the lower 24.
 class packed_block
 {
 public:
-    /// Length 0, value 0.
+    /// Prefix length 0, value 0.
     packed_block() = default;
 
-    /// Packs both.
+    /// `length` is in bits; `value` must be below block_value_limit.
     packed_block(unsigned length, block_value value)
         : packed(length << 24U | value)
     {
     }
 
-    /// Bits that the block's addresses share.
+    /// Returns the prefix length in bits.
     unsigned length() const
     {
         return this->packed >> 24U;
     }
 
-    /// What the block stands for.
+    /// Returns the value of the block.
     block_value value() const
     {
         return this->packed & (block_value_limit - 1);
@@ -42,18 +44,18 @@
     std::uint32_t packed = 0;
 };
 
-/// A block of one family while tables are built.
+/// A block with keys of one type, as input to building a table.
 template <class Key>
 struct block_entry
 {
-    /// Its first address.
+    /// First address of the block.
     Key start{};
-    /// Its length and value.
+    /// Prefix length and value.
     packed_block block;
 };
 
-/// True if `left` sorts before `right`: by first address, then the block
-/// that holds the other first.
+/// Returns true if `left` sorts before `right`: by first address, then by
+/// prefix length, so that an enclosing block precedes the blocks within it.
 template <class Key>
 bool sorts_before(block_entry<Key> const& left, block_entry<Key> const& right)
 {
--- a/bilberrylead/steering/block_match.hpp
+++ b/bilberrylead/steering/block_match.hpp
@@ -6,13 +6,13 @@
 namespace bilberrylead::steering
 {
 
-/// The block that an address was found in.
+/// Result of a look-up: the longest block that contains the address.
 struct block_match
 {
-    /// What the block stands for.
+    /// Value of the block.
     block_value value = 0;
-    /// Bits of the address that decided: all addresses that share them and
-    /// lie in no longer block get the same answer.
+    /// Prefix length of the block, in bits. All addresses that share this
+    /// prefix and are not within a longer block have the same result.
     unsigned length = 0;
 
     friend bool operator==(block_match const&, block_match const&) = default;
--- a/bilberrylead/steering/block_table.cpp
+++ b/bilberrylead/steering/block_table.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/// The lists of the blocks of each kind while a table is built.
+/// Entries of each key type while a table is built.
 struct entry_lists
 {
     std::vector<block_entry<std::uint32_t>> v4;
@@ -23,7 +23,7 @@
     std::vector<block_entry<v6_key>> v6_long;
 };
 
-/// What changes in each kind.
+/// Pending changes of each key type.
 struct table_change
 {
     layered_table_change<std::uint32_t> v4;
@@ -31,8 +31,8 @@
     layered_table_change<v6_key> v6_long;
 };
 
-/// Calls `action` with the part of `parts` that the block belongs to and
-/// the block's first address as that part has it.
+/// Calls `action` with the member of `parts` for the key type of the block,
+/// and the block's first address as such a key.
 template <class Parts, class Action>
 auto visit_part(Parts& parts, address_block const& block, Action&& action)
 {
@@ -54,18 +54,18 @@
     }
     return make_error(
         error_kind::no_room,
-        fmt::format("Block {} stands for number {}, the largest is {}.",
+        fmt::format("Block {} has value {}; the largest value is {}.",
                     entry.block.to_string(), entry.value,
                     block_value_limit - 1),
-        "Let blocks with equal zone and labels share a number.");
+        "Use the same value for blocks with equal zone and labels.");
 }
 
 absl::Status not_found_error(address_block const& block)
 {
     return make_error(error_kind::unknown_name,
-                      fmt::format("Block {} is to be removed and isn't there.",
+                      fmt::format("Block {} to remove is not in the table.",
                                   block.to_string()),
-                      "Fetch the whole table again.");
+                      "Fetch the complete table again.");
 }
 
 } // namespace
--- a/bilberrylead/steering/ip_address.cpp
+++ b/bilberrylead/steering/ip_address.cpp
@@ -62,7 +62,7 @@
     }
     return make_error(error_kind::bad_value,
                       fmt::format("\"{}\" is not an IP address.", text),
-                      "Write it like 192.0.2.1 or 2001:db8::1.");
+                      "Use a form such as 192.0.2.1 or 2001:db8::1.");
 }
 
 std::string ip_address::to_string() const
--- a/bilberrylead/steering/ip_address.hpp
+++ b/bilberrylead/steering/ip_address.hpp
@@ -13,29 +13,29 @@
 namespace bilberrylead::steering
 {
 
-/// A caller's address in the form that look-ups take: IPv4 as a number,
-/// IPv6 as two. An IPv4 address that came in IPv6 form (::ffff:192.0.2.1)
-/// is an IPv4 address.
+/// An IP address of a caller as an integer key for look-ups. An IPv4-mapped
+/// IPv6 address (::ffff:192.0.2.1) is converted to the IPv4 address.
 class ip_address
 {
 public:
-    /// The address 0.0.0.0.
+    /// Creates the address 0.0.0.0.
     ip_address() = default;
-    /// An IPv4 address, in host byte order.
+    /// Creates an IPv4 address; `v4` is in host byte order.
     explicit ip_address(std::uint32_t v4);
-    /// An IPv6 address.
+    /// Creates an IPv6 address, or the IPv4 address if it is IPv4-mapped.
     explicit ip_address(v6_key v6);
 
-    /// Reads the usual text form.
+    /// Parses dotted-decimal IPv4 or the text form of IPv6. Returns
+    /// error_kind::bad_value for other text.
     static absl::StatusOr<ip_address> parse(std::string const& text);
 
-    /// The usual text form.
+    /// Returns the text form that parse() reads.
     std::string to_string() const;
-    /// True for IPv4.
+    /// Returns true for an IPv4 address.
     bool is_v4() const;
-    /// The IPv4 number; only if is_v4().
+    /// Returns the IPv4 address in host byte order. Requires is_v4().
     std::uint32_t v4() const;
-    /// The IPv6 number; only if not is_v4().
+    /// Returns the IPv6 address. Requires !is_v4().
     v6_key v6() const;
 
     friend auto operator<=>(ip_address const&, ip_address const&) = default;
--- a/bilberrylead/steering/large_pages.cpp
+++ b/bilberrylead/steering/large_pages.cpp
@@ -24,7 +24,8 @@
 
 void* allocate_large(std::size_t size, std::size_t alignment)
 {
-    // Below some pages the rounding would cost more than it brings.
+    // For smaller arrays, the cost of rounding up to whole large pages
+    // outweighs their benefit.
     bool const is_large = size >= 4 * large_page_bytes;
     std::size_t const unit =
         is_large ? large_page_bytes : std::max(alignment, cache_line_bytes);
@@ -35,7 +36,8 @@
     }
     if (is_large)
     {
-        // Only advice; without it the table is slower and no less right.
+        // Failure is ignored: without large pages, access is slower but still
+        // correct.
         static_cast<void>(
             ::madvise(memory, round_up(size, unit), MADV_HUGEPAGE));
     }
--- a/bilberrylead/steering/large_pages.hpp
+++ b/bilberrylead/steering/large_pages.hpp
@@ -6,38 +6,39 @@
 namespace bilberrylead::steering
 {
 
-/// Memory for a large array, on large pages where the system has them.
-/// Callers hit a table at random; on small pages nearly every access first
-/// misses the processor's list of pages. `alignment` is a power of two, up to
-/// a page of 4096 bytes. Throws std::bad_alloc.
+/// Allocates `size` bytes for a large array, on large pages where the system
+/// has them. Look-ups access a table at random; with small pages, nearly
+/// every access would miss the TLB. `alignment` is a power of two, in bytes,
+/// up to a page of 4096 bytes. Throws std::bad_alloc. The caller owns the
+/// memory and frees it with release_large.
 void* allocate_large(std::size_t size, std::size_t alignment);
 
-/// Gives back what allocate_large gave.
+/// Frees memory allocated with allocate_large.
 void release_large(void* memory);
 
-/// Lets a std::vector use allocate_large.
+/// Allocator that makes a std::vector use allocate_large.
 template <class Value>
 struct large_page_allocator
 {
-    /// What std::vector asks for.
+    /// Element type, required of an allocator.
     using value_type = Value;
 
     large_page_allocator() = default;
 
     template <class Other>
-    // NOLINTNEXTLINE(google-explicit-constructor): the standard wants it so.
+    // NOLINTNEXTLINE(google-explicit-constructor): required of an allocator.
     large_page_allocator(large_page_allocator<Other> const&)
     {
     }
 
-    /// Memory for so many values.
+    /// Allocates memory for `count` values.
     Value* allocate(std::size_t count)
     {
         return static_cast<Value*>(
             allocate_large(count * sizeof(Value), alignof(Value)));
     }
 
-    /// Gives it back.
+    /// Frees memory that allocate() returned.
     void deallocate(Value* memory, std::size_t)
     {
         release_large(memory);
--- a/bilberrylead/steering/layered_block_table.hpp
+++ b/bilberrylead/steering/layered_block_table.hpp
@@ -14,25 +14,27 @@
 namespace bilberrylead::steering
 {
 
-/// Blocks of one family as a large base, shared with earlier versions, and
-/// a small overlay of what changed since. A change copies the overlay and a
-/// bit for each base block, never the base.
+/// Blocks with keys of one type, as a large immutable base shared with
+/// earlier versions, and a small overlay of the blocks changed since. A
+/// change copies the overlay and one bit for each base block, never the base.
 template <class Key>
 class layered_block_table
 {
 public:
-    /// No blocks.
+    /// Creates an empty table.
     layered_block_table() : base(std::make_shared<table>())
     {
     }
 
-    /// Takes blocks that are sorted by sorts_before and differ.
+    /// Creates a table of blocks that are sorted by sorts_before and contain
+    /// no duplicates; the overlay is empty.
     explicit layered_block_table(std::vector<block_entry<Key>> const& sorted)
         : base(std::make_shared<table>(sorted)), live_count(sorted.size())
     {
     }
 
-    /// The longest block that holds the address. No lock, no allocation.
+    /// Returns the longest block that contains the address. Takes no lock and
+    /// allocates no memory.
     std::optional<block_match> find(Key const& address) const
     {
         std::optional<block_match> base_match = make_match(
@@ -57,7 +59,7 @@
         return is_longer ? overlay_match : base_match;
     }
 
-    /// The overlay's blocks, for a change that starts from them.
+    /// Returns the blocks of the overlay, sorted. A change starts from them.
     std::vector<block_entry<Key>> overlay_entries() const
     {
         std::vector<block_entry<Key>> entries;
@@ -69,7 +71,8 @@
         return entries;
     }
 
-    /// Hides a base block. False if it isn't there, or is hidden already.
+    /// Hides a block of the base from look-ups. Returns false if it is not in
+    /// the base or is hidden already.
     bool hide(Key const& start, unsigned length)
     {
         std::uint32_t const position = this->base->find_exact(start, length);
@@ -87,7 +90,8 @@
         return true;
     }
 
-    /// Replaces the overlay by blocks that are sorted and differ.
+    /// Replaces the overlay by blocks that are sorted by sorts_before and
+    /// contain no duplicates.
     void set_overlay(std::vector<block_entry<Key>> const& sorted)
     {
         this->live_count += sorted.size();
@@ -95,7 +99,7 @@
         this->overlay = table(sorted);
     }
 
-    /// All blocks in force, sorted.
+    /// Returns the visible blocks of base and overlay, sorted.
     std::vector<block_entry<Key>> merged_entries() const
     {
         std::vector<block_entry<Key>> const changed = this->overlay_entries();
@@ -120,19 +124,19 @@
         return entries;
     }
 
-    /// Blocks in force.
+    /// Returns the number of visible blocks of base and overlay.
     std::size_t size() const
     {
         return this->live_count;
     }
 
-    /// Blocks in the overlay.
+    /// Returns the number of blocks in the overlay.
     std::size_t overlay_size() const
     {
         return this->overlay.size();
     }
 
-    /// Bytes of memory held, the shared base included.
+    /// Returns the memory held in bytes, including the shared base.
     std::size_t bytes_held() const
     {
         return this->base->bytes_held() + this->overlay.bytes_held() +
--- a/bilberrylead/steering/layered_table_change.hpp
+++ b/bilberrylead/steering/layered_table_change.hpp
@@ -19,20 +19,20 @@
 namespace bilberrylead::steering
 {
 
-/// The address that an upper half starts with.
+/// Returns the lowest IPv6 address with this upper half.
 inline ip_address full_address(std::uint64_t upper)
 {
     return ip_address(v6_key{upper, 0});
 }
 
-/// The address itself.
+/// Returns the key as an address.
 template <class Key>
 ip_address full_address(Key const& address)
 {
     return ip_address(address);
 }
 
-/// True if both are the same block, whatever they stand for.
+/// Returns true if both entries are of the same block, whatever their values.
 template <class Key>
 bool is_same_prefix(block_entry<Key> const& left, block_entry<Key> const& right)
 {
@@ -40,7 +40,8 @@
            left.block.length() == right.block.length();
 }
 
-/// Sorts blocks and refuses one that stands twice.
+/// Sorts blocks by sorts_before. Returns error_kind::duplicate_name if a
+/// block occurs twice.
 template <class Key>
 absl::Status sort_and_reject_duplicates(std::vector<block_entry<Key>>& entries)
 {
@@ -53,23 +54,26 @@
     }
     address_block const block = address_block::containing(
         full_address(duplicate->start), duplicate->block.length());
-    return make_error(error_kind::duplicate_name,
-                      fmt::format("Block {} stands twice.", block.to_string()),
-                      "Remove one of the two.");
+    return make_error(
+        error_kind::duplicate_name,
+        fmt::format("Block {} is listed twice.", block.to_string()),
+        "Remove one of the two entries.");
 }
 
-/// Changes to the blocks of one kind, collected before they take effect.
+/// Collects changes to the blocks of a layered table and applies them to a
+/// copy. Call remove() for all removals, then set(), then finish() and
+/// result().
 template <class Key>
 class layered_table_change
 {
 public:
-    /// Starts from what is in force.
+    /// Starts from the blocks of `current`, which stays as it is.
     explicit layered_table_change(layered_block_table<Key> const& current)
         : updated(current), overlay_entries(current.overlay_entries())
     {
     }
 
-    /// Removes a block; false if it isn't there.
+    /// Removes a block. Returns false if it is not in the table.
     bool remove(Key const& start, unsigned length)
     {
         block_entry<Key> const target{start, {length, 0}};
@@ -85,14 +89,15 @@
         return this->updated.hide(start, length);
     }
 
-    /// Adds a block or changes what it stands for; after all removals.
+    /// Adds a block or changes its value. Call it after all removals.
     void set(Key const& start, packed_block block)
     {
         this->updated.hide(start, block.length());
         this->changed_entries.push_back({start, block});
     }
 
-    /// Puts the changes together. Refuses a block that is set twice.
+    /// Applies the collected changes. Returns error_kind::duplicate_name if a
+    /// block was set twice.
     absl::Status finish()
     {
         absl::Status status = sort_and_reject_duplicates(this->changed_entries);
@@ -100,8 +105,8 @@
         {
             return status;
         }
-        // Of equal blocks the union takes the first list's: a block that
-        // changes again replaces its earlier change.
+        // std::set_union takes equal blocks from the first list, so a block
+        // that changes again replaces its earlier change.
         std::vector<block_entry<Key>> merged;
         merged.reserve(this->overlay_entries.size() +
                        this->changed_entries.size());
@@ -113,7 +118,7 @@
         return absl::OkStatus();
     }
 
-    /// The blocks after the change; once, after finish().
+    /// Returns the table with the changes. Call it once, after finish().
     layered_block_table<Key> result() &&
     {
         return std::move(this->updated);
--- a/bilberrylead/steering/sorted_block_table.hpp
+++ b/bilberrylead/steering/sorted_block_table.hpp
@@ -18,31 +18,33 @@
 namespace bilberrylead::steering
 {
 
-/// Blocks of one kind of address, sorted, in flat arrays. Never changes
-/// once it is built, so that any number of threads may look up.
+/// Blocks with keys of one type, sorted, in flat arrays. Immutable once
+/// built, so that any number of threads may search it concurrently.
 ///
-/// A look-up finds the last block that starts at or before the address.
-/// That block, or one around it, is the answer. Which lengths the blocks
-/// around it have stands beside it as a set of bits, so that at most one
-/// more search finds the longest of them that holds the address, however
-/// deep the blocks nest.
+/// A look-up finds the predecessor: the last block that starts at or before
+/// the address. The result is that block or one that encloses it. Each block
+/// is stored with a bit set of the prefix lengths of its enclosing blocks, so
+/// that at most one more search finds the longest of them that contains the
+/// address, however deep the blocks nest.
 ///
-/// On a table far larger than the caches time is what waiting for memory
-/// costs: a search waits once, for its leaf. The levels above the leaves
-/// hold every leaf's first key, then every 32nd (16th) of those, and so on,
-/// and are small enough to stay near the core.
+/// In a table far larger than the caches, memory latency dominates the time
+/// of a search. Only the access to the leaf misses the cache: the levels
+/// above the leaves contain the first key of every leaf, then every 32nd of
+/// those (16th for IPv6), and so on, and are small enough to stay in the
+/// cache of the core.
 template <class Key>
 class sorted_block_table
 {
 public:
-    /// No block.
+    /// Position that stands for "no block".
     static constexpr std::uint32_t none =
         std::numeric_limits<std::uint32_t>::max();
 
-    /// An empty table.
+    /// Creates an empty table.
     sorted_block_table() = default;
 
-    /// Takes blocks that are sorted by sorts_before and differ.
+    /// Creates a table of blocks that are sorted by sorts_before and contain
+    /// no duplicates.
     explicit sorted_block_table(std::vector<block_entry<Key>> const& sorted)
         : count(sorted.size())
     {
@@ -50,8 +52,8 @@
         this->fill_levels();
     }
 
-    /// Position of the longest block that holds the address and for which
-    /// `skipped(position)` is false, or none.
+    /// Returns the position of the longest block that contains the address
+    /// and for which `is_skipped(position)` is false, or none.
     template <class IsSkipped>
     std::uint32_t find(Key const& address, IsSkipped const& is_skipped) const
     {
@@ -86,7 +88,8 @@
         return none;
     }
 
-    /// Position of this very block, or none.
+    /// Returns the position of the block with this first address and prefix
+    /// length, or none.
     std::uint32_t find_exact(Key const& start, unsigned length) const
     {
         std::uint32_t position = this->find_predecessor(start);
@@ -101,25 +104,26 @@
         return is_same ? position : none;
     }
 
-    /// Blocks held.
+    /// Returns the number of blocks.
     std::size_t size() const
     {
         return this->count;
     }
 
-    /// First address of the block at a position.
+    /// Returns the first address of the block at a position below size().
     Key const& start(std::uint32_t position) const
     {
         return this->leaves[position / leaf_size].starts[position % leaf_size];
     }
 
-    /// Length and value of the block at a position.
+    /// Returns the prefix length and value of the block at a position below
+    /// size().
     packed_block block(std::uint32_t position) const
     {
         return this->leaves[position / leaf_size].blocks[position % leaf_size];
     }
 
-    /// Bytes of memory held.
+    /// Returns the memory held in bytes.
     std::size_t bytes_held() const
     {
         return this->leaves.capacity() * sizeof(leaf) +
@@ -131,20 +135,21 @@
     using length_set = typename traits::length_set;
 
     static constexpr std::size_t cache_line_bytes = 64;
-    /// Large enough that the keys above all leaves, 4 or 8 bytes each, stay
-    /// in a core's own cache at 4.1 million blocks.
+    /// Large enough that the keys of the levels above the leaves, 4 or 8
+    /// bytes each, stay in a core's private cache at 4.1 million blocks.
     static constexpr std::size_t leaf_bytes = sizeof(Key) == 4 ? 256 : 512;
     static constexpr std::size_t leaf_size =
         leaf_bytes / (sizeof(Key) + sizeof(packed_block) + sizeof(length_set));
-    /// The part of a leaf that holds first addresses, lengths and values.
+    /// Size of the first addresses, prefix lengths and values of a leaf, which
+    /// most searches read.
     static constexpr std::size_t prefetched_bytes =
         leaf_size * (sizeof(Key) + sizeof(packed_block));
-    /// Keys compared on each level above: two cache lines.
+    /// Keys compared on each level above the leaves: two cache lines.
     static constexpr std::size_t fan_out = sizeof(Key) == 4 ? 32 : 16;
     static constexpr std::size_t max_levels = 12;
 
-    /// Neighbouring blocks. Its lines are asked for at once, so that the end
-    /// of a search waits for memory once.
+    /// Consecutive blocks. A search prefetches the cache lines of a leaf
+    /// together, so that it waits for memory once.
     struct alignas(leaf_bytes) leaf
     {
         std::array<Key, leaf_size> starts;
@@ -162,7 +167,7 @@
             .enclosing_lengths[position % leaf_size];
     }
 
-    /// The set of all lengths from the shortest to `longest`.
+    /// Returns the set of all lengths from min_length to `longest`.
     static length_set lengths_up_to(unsigned longest)
     {
         if (longest < traits::min_length)
@@ -205,7 +210,8 @@
         }
     }
 
-    /// A block of the greatest length has no bit: none lies within it.
+    /// Returns the bit of the entry's prefix length. The greatest length has
+    /// no bit, as such a block encloses no other.
     static length_set length_bit(block_entry<Key> const& entry)
     {
         unsigned const bit = entry.block.length() - traits::min_length;
@@ -223,8 +229,9 @@
 
     void fill_levels()
     {
-        // The first key of each leaf, then of each group of those, and so
-        // on; padded so that the search compares whole groups.
+        // The lowest level has the first key of each leaf, the next one the
+        // first key of each group of those, and so on. Each level is padded
+        // so that a search compares complete groups.
         std::array<std::size_t, max_levels> sizes{};
         std::size_t total = 0;
         for (std::size_t size = this->leaves.size(); size > 0;
@@ -250,15 +257,17 @@
         }
     }
 
-    /// Position of the last block that starts at or before the address.
+    /// Returns the position of the last block that starts at or before the
+    /// address, or none.
     std::uint32_t find_predecessor(Key const& address) const
     {
         if (this->count == 0)
         {
             return none;
         }
-        // Padding also counts as "not after" the last address of all, and
-        // may lead past the end there; hence each min.
+        // Padding keys equal the greatest address. A search for that address
+        // counts them too and would run past the end, so each index is
+        // limited with std::min.
         std::size_t group = 0;
         for (std::size_t level = this->level_count; level-- > 0;)
         {
@@ -281,9 +290,9 @@
         return static_cast<std::uint32_t>(std::min(position, this->count - 1));
     }
 
-    /// Asks for the lines of a leaf that most searches read, before the first
-    /// is waited for. The others would only push the keys of the levels
-    /// above out of the core's cache.
+    /// Prefetches the cache lines of a leaf that most searches read, before
+    /// the first of them is accessed. Prefetching the others would only evict
+    /// keys of the levels above from the core's cache.
     static void prefetch(leaf const& target)
     {
         char const* const first = reinterpret_cast<char const*>(&target);
@@ -297,8 +306,8 @@
     template <std::size_t Keys>
     static std::size_t count_not_greater(Key const* first, Key const& address)
     {
-        // A narrow counter: it is as wide as a key where keys are compared
-        // several at a time.
+        // The counter is 32 bits wide, like the keys that are compared with
+        // SIMD instructions.
         std::uint32_t not_greater = 0;
         for (std::size_t i = 0; i < Keys; ++i)
         {
--- a/bilberrylead/steering/v6_key.hpp
+++ b/bilberrylead/steering/v6_key.hpp
@@ -7,7 +7,7 @@
 namespace bilberrylead::steering
 {
 
-/// An IPv6 address as a number of 128 bits; ordered as such.
+/// An IPv6 address as an unsigned 128-bit integer, ordered numerically.
 struct v6_key
 {
     /// The upper 64 bits.
@@ -18,25 +18,27 @@
     friend auto operator<=>(v6_key const&, v6_key const&) = default;
 };
 
-/// Bits of an IPv4 address.
+/// Length of an IPv4 address in bits.
 inline constexpr unsigned v4_bits = 32;
-/// Bits of an IPv6 address.
+/// Length of an IPv6 address in bits.
 inline constexpr unsigned v6_bits = 128;
 
-/// The address with all but its first `length` bits zero.
+/// Returns the address with all but its first `length` bits cleared; `length`
+/// is 0 to 32.
 constexpr std::uint32_t truncated(std::uint32_t address, unsigned length)
 {
     return length == 0 ? 0U : address & (~std::uint32_t{0} << (32U - length));
 }
 
-/// The upper half of an IPv6 address with all but its first `length` bits
-/// zero.
+/// Returns the upper half of an IPv6 address with all but its first `length`
+/// bits cleared; `length` is 0 to 64.
 constexpr std::uint64_t truncated(std::uint64_t upper, unsigned length)
 {
     return length == 0 ? 0U : upper & (~std::uint64_t{0} << (64U - length));
 }
 
-/// The address with all but its first `length` bits zero.
+/// Returns the address with all but its first `length` bits cleared; `length`
+/// is 0 to 128.
 constexpr v6_key truncated(v6_key address, unsigned length)
 {
     constexpr unsigned half = 64;
--- a/tests/unit/steering/block_table_test.cpp
+++ b/tests/unit/steering/block_table_test.cpp
@@ -29,7 +29,8 @@
     return *address;
 }
 
-/// All blocks in a map, tried from the longest prefix to the shortest.
+/// Reference implementation: a map that is searched for each prefix of an
+/// address, from the longest to the shortest.
 class naive_table
 {
 public:
@@ -62,7 +63,8 @@
     }
 };
 
-/// Few address bits vary, so that blocks nest, touch and share starts.
+/// Only a few address bits vary, so that blocks nest, adjoin and share first
+/// addresses.
 ip_address clustered_address(std::mt19937_64& random)
 {
     std::uint64_t const bits = random();
@@ -177,10 +179,11 @@
     }
 }
 
-// A change removes blocks, gives others a new meaning and adds some in
-// between, again and again, now and then followed by a compaction. At every
-// step each caller gets what a plain search of all blocks answers: an
-// answer from a removed block would send it to a zone that was taken away.
+// Applies a sequence of changes that remove blocks, change the values of
+// others and add new ones, with a compaction after some of them. After each
+// step, look-ups must equal those of the reference implementation. Guards
+// against a match with a removed block, which would direct a caller to a zone
+// that is no longer in use.
 Test(block_table, random_changes_when_applied_match_a_linear_search)
 {
     for (unsigned seed = 1; seed <= 40; ++seed)
