--- a/bilberrylead/daemon/entry_program.cpp
+++ b/bilberrylead/daemon/entry_program.cpp
@@ -222,32 +222,32 @@
 void entry_program::implementation::on_effect_of_server(
     entry::effect const& wanted)
 {
-    using once_client::local_request;
+    using once_client::local_request_id;
     if (entry::request_claim const* const claim =
             std::get_if<entry::request_claim>(&wanted))
     {
-        this->on_claims(once_client::claim_wanted{
-            static_cast<local_request>(claim->request), claim->key,
+        this->on_claims(once_client::claim_requested{
+            static_cast<local_request_id>(claim->request), claim->key,
             claim->body_digest});
     }
     else if (entry::report_completion const* const completion =
                  std::get_if<entry::report_completion>(&wanted))
     {
-        this->on_claims(once_client::completion_wanted{
-            static_cast<local_request>(completion->request), completion->key,
+        this->on_claims(once_client::completion_reported{
+            static_cast<local_request_id>(completion->request), completion->key,
             completion->answer});
     }
     else if (entry::report_release const* const release =
                  std::get_if<entry::report_release>(&wanted))
     {
-        this->on_claims(once_client::release_wanted{
-            static_cast<local_request>(release->request), release->key});
+        this->on_claims(once_client::release_requested{
+            static_cast<local_request_id>(release->request), release->key});
     }
     else if (entry::report_unknown const* const unknown =
                  std::get_if<entry::report_unknown>(&wanted))
     {
-        this->on_claims(once_client::unknown_wanted{
-            static_cast<local_request>(unknown->request), unknown->key});
+        this->on_claims(once_client::unknown_outcome_reported{
+            static_cast<local_request_id>(unknown->request), unknown->key});
     }
     else if (entry::tell_crash_records const* const crashes =
                  std::get_if<entry::tell_crash_records>(&wanted))
--- a/bilberrylead/daemon/entry_program_peers.cpp
+++ b/bilberrylead/daemon/entry_program_peers.cpp
@@ -111,22 +111,23 @@
                                                    clock_now());
             this->owner.link_control_hosts();
             this->owner.on_claims(
-                once_client::leader_named{this->number, held});
+                once_client::leader_notice_received{this->number, held});
         }
 
         void operator()(link::registration_reply const& held) const
         {
-            this->owner.on_claims(once_client::registration_answered{held});
+            this->owner.on_claims(
+                once_client::registration_reply_received{held});
         }
 
         void operator()(link::claim_reply const& held) const
         {
-            this->owner.on_claims(once_client::verdict_received{held});
+            this->owner.on_claims(once_client::claim_reply_received{held});
         }
 
         void operator()(link::settle_reply const& held) const
         {
-            this->owner.on_claims(once_client::settlement_received{held});
+            this->owner.on_claims(once_client::settle_reply_received{held});
         }
 
         void operator()(link::group_news const& held) const
--- a/bilberrylead/once_client/once_client.cpp
+++ b/bilberrylead/once_client/once_client.cpp
@@ -14,18 +14,18 @@
 }
 
 std::vector<once_client_effect>
-once_client::reduce(once_client_event const& what, instant now)
+once_client::reduce(once_client_event const& event, instant now)
 {
     assert(now >= this->time);
     this->time = now;
     this->effects.clear();
     std::visit(
-        [this](auto const& event)
+        [this](auto const& alternative)
         {
-            this->on(event);
+            this->on(alternative);
         },
-        what);
-    this->note_reachability();
+        event);
+    this->report_reachability_change();
     return std::move(this->effects);
 }
 
@@ -34,47 +34,47 @@
     return this->is_registered && this->leader_link().has_value();
 }
 
-request_id once_client::id_of(local_request request) const
+request_id once_client::id_of(local_request_id request) const
 {
     return request_id(fmt::format("{}.{}.{}", this->settings.self.text(),
                                   this->settings.incarnation, request));
 }
 
-void once_client::on(control_link_opened const& what)
+void once_client::on(control_link_opened const& event)
 {
-    this->links[what.link] = what.host;
+    this->links[event.link] = event.host;
     this->register_self();
 }
 
-void once_client::on(control_link_closed const& what)
+void once_client::on(control_link_closed const& event)
 {
-    bool const was_leader = this->leader_link() == what.link;
-    this->links.erase(what.link);
+    bool const was_leader = this->leader_link() == event.link;
+    this->links.erase(event.link);
     if (!was_leader)
     {
         return;
     }
 
     // What was on its way may be lost with the link.
-    for (command_map::value_type& row : this->commands)
+    for (command_map::value_type& entry : this->commands)
     {
-        row.second.is_sent = false;
+        entry.second.is_sent = false;
     }
-    this->send_open();
+    this->send_unsent_commands();
 }
 
-void once_client::on(leader_named const& what)
+void once_client::on(leader_notice_received const& event)
 {
-    if (!what.content.leader.empty() && what.content.leader != this->leader)
+    if (!event.content.leader.empty() && event.content.leader != this->leader)
     {
-        this->leader = what.content.leader;
-        for (command_map::value_type& row : this->commands)
+        this->leader = event.content.leader;
+        for (command_map::value_type& entry : this->commands)
         {
-            row.second.is_sent = false;
+            entry.second.is_sent = false;
         }
     }
     command_map::iterator const refused =
-        this->commands.find(what.content.refused_number);
+        this->commands.find(event.content.refused_number);
     if (refused != this->commands.end())
     {
         refused->second.is_sent = false;
@@ -83,22 +83,23 @@
     // A host that refuses while it names itself is just losing its office;
     // the next tick asks again, this event must not, or the two would
     // exchange refusals as fast as the link allows.
-    bool const names_itself = what.content.refused_number != 0 &&
-                              this->links[what.link] == what.content.leader;
-    if (!names_itself)
+    bool const refused_by_named_leader =
+        event.content.refused_number != 0 &&
+        this->links[event.link] == event.content.leader;
+    if (!refused_by_named_leader)
     {
         this->register_self();
-        this->send_open();
+        this->send_unsent_commands();
     }
 }
 
-void once_client::on(registration_answered const& what)
+void once_client::on(registration_reply_received const& event)
 {
-    once::registration const& result = what.content.result;
+    once::registration const& result = event.content.result;
     if (result.accepted && result.incarnation == this->incarnation)
     {
         this->is_registered = true;
-        this->send_open();
+        this->send_unsent_commands();
     }
     else if (!result.accepted && result.incarnation >= this->incarnation)
     {
@@ -110,31 +111,31 @@
     }
 }
 
-void once_client::on(verdict_received const& what)
+void once_client::on(claim_reply_received const& event)
 {
     command_map::iterator const found =
-        this->commands.find(what.content.number);
+        this->commands.find(event.content.number);
     if (found == this->commands.end() ||
         !std::holds_alternative<once::claim>(found->second.command))
     {
         return;
     }
-    local_request const request = found->second.request;
+    local_request_id const request = found->second.request;
     this->commands.erase(found);
     --this->open_claims;
-    this->effects.emplace_back(claim_decided{request, what.content.verdict});
+    this->effects.emplace_back(claim_decided{request, event.content.verdict});
 }
 
-void once_client::on(settlement_received const& what)
+void once_client::on(settle_reply_received const& event)
 {
     command_map::iterator const found =
-        this->commands.find(what.content.number);
+        this->commands.find(event.content.number);
     if (found == this->commands.end() ||
         std::holds_alternative<once::claim>(found->second.command))
     {
         return;
     }
-    local_request const request = found->second.request;
+    local_request_id const request = found->second.request;
     bool const was_completion =
         std::holds_alternative<once::complete>(found->second.command);
     this->commands.erase(found);
@@ -144,92 +145,97 @@
     }
 }
 
-void once_client::on(claim_wanted const& what)
+void once_client::on(claim_requested const& event)
 {
     // Without a leader nothing can be claimed within the caller's time.
-    bool const no_room = this->open_claims >= this->settings.most_open_claims;
-    if (!this->reachable() || no_room)
+    bool const at_capacity =
+        this->open_claims >= this->settings.max_open_claims;
+    if (!this->reachable() || at_capacity)
     {
-        once::claim_refusal const reason = no_room
+        once::claim_refusal const reason = at_capacity
                                                ? once::claim_refusal::no_room
                                                : once::claim_refusal::no_quorum;
         this->effects.emplace_back(claim_decided{
-            what.request,
+            event.request,
             once::claim_refused{reason, this->settings.retry_after}});
         return;
     }
     once::claim command;
-    command.key = what.key;
-    command.body_digest = what.body_digest;
-    command.request = this->id_of(what.request);
+    command.key = event.key;
+    command.body_digest = event.body_digest;
+    command.request = this->id_of(event.request);
     command.entry_host = this->settings.self;
     command.incarnation = this->incarnation;
     ++this->open_claims;
-    this->add(what.request, std::move(command));
+    this->add_command(event.request, std::move(command));
 }
 
-void once_client::on(completion_wanted const& what)
+void once_client::on(completion_reported const& event)
 {
     this->add_report(
-        what.request,
-        once::complete{what.key, this->id_of(what.request), what.answer});
+        event.request,
+        once::complete{event.key, this->id_of(event.request), event.answer});
 }
 
-void once_client::on(release_wanted const& what)
+void once_client::on(release_requested const& event)
 {
-    this->add_report(what.request,
-                     once::release{what.key, this->id_of(what.request)});
+    this->add_report(event.request,
+                     once::release{event.key, this->id_of(event.request)});
 }
 
-void once_client::on(unknown_wanted const& what)
+void once_client::on(unknown_outcome_reported const& event)
 {
-    this->add_report(what.request,
-                     once::mark_unknown{what.key, this->id_of(what.request)});
+    this->add_report(event.request,
+                     once::mark_unknown{event.key, this->id_of(event.request)});
 }
 
 void once_client::on(client_tick const&)
 {
     this->register_self();
-    this->give_up_late_claims();
-    this->send_again();
+    this->abandon_expired_claims();
+    this->resend_overdue_commands();
 }
 
-void once_client::add_report(local_request request, once::once_command command)
+void once_client::add_report(local_request_id request,
+                             once::once_command command)
 {
-    std::size_t const reports = this->commands.size() - this->open_claims;
-    if (reports >= this->settings.most_open_reports)
+    std::size_t const open_report_count =
+        this->commands.size() - this->open_claims;
+    if (open_report_count >= this->settings.max_open_reports)
     {
-        for (command_map::iterator row = this->commands.begin();
-             row != this->commands.end(); ++row)
+        for (command_map::iterator entry = this->commands.begin();
+             entry != this->commands.end(); ++entry)
         {
-            if (!std::holds_alternative<once::claim>(row->second.command))
+            if (!std::holds_alternative<once::claim>(entry->second.command))
             {
-                this->commands.erase(row);
+                this->commands.erase(entry);
                 break;
             }
         }
     }
-    this->add(request, std::move(command));
+    this->add_command(request, std::move(command));
 }
 
-void once_client::add(local_request request, once::once_command command)
+void once_client::add_command(local_request_id request,
+                              once::once_command command)
 {
     ++this->last_number;
     open_command& added = this->commands[this->last_number];
     added.request = request;
     added.command = std::move(command);
-    added.wanted_at = this->time;
+    added.requested_at = this->time;
     this->send(this->last_number, added);
 }
 
 std::optional<link::link_number> once_client::leader_link() const
 {
     // The newest link to the leader: an older one may have gone silent.
-    for (auto row = this->links.rbegin(); row != this->links.rend(); ++row)
+    for (auto entry = this->links.rbegin(); entry != this->links.rend();
+         ++entry)
     {
-        if (row->second == this->leader)
+        if (entry->second == this->leader)
         {
-            return row->first;
+            return entry->first;
         }
     }
     return std::nullopt;
@@ -238,9 +244,9 @@
 void once_client::register_self()
 {
     std::optional<link::link_number> const link = this->leader_link();
-    bool const is_due =
-        this->registration_sent_at == instant{} ||
-        this->time - this->registration_sent_at >= this->settings.resend_after;
+    bool const is_due = this->registration_sent_at == instant{} ||
+                        this->time - this->registration_sent_at >=
+                            this->settings.resend_interval;
     if (this->is_registered || !link.has_value() || !is_due)
     {
         return;
@@ -250,13 +256,13 @@
         send_to_control{*link, link::registration_request{this->incarnation}});
 }
 
-void once_client::send_open()
+void once_client::send_unsent_commands()
 {
-    for (command_map::value_type& row : this->commands)
+    for (command_map::value_type& entry : this->commands)
     {
-        if (!row.second.is_sent)
+        if (!entry.second.is_sent)
         {
-            this->send(row.first, row.second);
+            this->send(entry.first, entry.second);
         }
     }
 }
@@ -274,31 +280,32 @@
         send_to_control{*link, link::once_request{number, command.command}});
 }
 
-void once_client::send_again()
+void once_client::resend_overdue_commands()
 {
-    for (command_map::value_type& row : this->commands)
+    for (command_map::value_type& entry : this->commands)
     {
-        open_command& command = row.second;
-        bool const is_due = !command.is_sent || this->time - command.sent_at >=
-                                                    this->settings.resend_after;
+        open_command& command = entry.second;
+        bool const is_due =
+            !command.is_sent ||
+            this->time - command.sent_at >= this->settings.resend_interval;
         if (is_due)
         {
-            this->send(row.first, command);
+            this->send(entry.first, command);
         }
     }
 }
 
-void once_client::give_up_late_claims()
+void once_client::abandon_expired_claims()
 {
     std::vector<std::uint64_t> late;
-    for (command_map::value_type const& row : this->commands)
+    for (command_map::value_type const& entry : this->commands)
     {
         bool const is_claim =
-            std::holds_alternative<once::claim>(row.second.command);
-        if (is_claim &&
-            this->time - row.second.wanted_at >= this->settings.claim_timeout)
+            std::holds_alternative<once::claim>(entry.second.command);
+        if (is_claim && this->time - entry.second.requested_at >=
+                            this->settings.claim_timeout)
         {
-            late.push_back(row.first);
+            late.push_back(entry.first);
         }
     }
     for (std::uint64_t const number : late)
@@ -315,12 +322,13 @@
     }
 }
 
-void once_client::note_reachability()
+void once_client::report_reachability_change()
 {
-    if (this->reachable() != this->was_reachable)
+    if (this->reachable() != this->reported_reachable)
     {
-        this->was_reachable = this->reachable();
-        this->effects.emplace_back(reachability_changed{this->was_reachable});
+        this->reported_reachable = this->reachable();
+        this->effects.emplace_back(
+            reachability_changed{this->reported_reachable});
     }
 }
 
--- a/bilberrylead/once_client/once_client.hpp
+++ b/bilberrylead/once_client/once_client.hpp
@@ -28,7 +28,7 @@
     explicit once_client(once_client_settings const& settings);
 
     /// Takes one event. `now` never goes back.
-    std::vector<once_client_effect> reduce(once_client_event const& what,
+    std::vector<once_client_effect> reduce(once_client_event const& event,
                                            instant now);
 
     /// True if a leader is linked and knows this incarnation.
@@ -37,42 +37,42 @@
     /// The request's id in claims: this host's, this process's. It keeps the
     /// number that the process started with when a larger incarnation is
     /// taken, so that a claim under way keeps its id.
-    request_id id_of(local_request request) const;
+    request_id id_of(local_request_id request) const;
 
 private:
     /// A claim or report without an answer yet.
     struct open_command
     {
-        local_request request = 0;
+        local_request_id request = 0;
         once::once_command command;
-        instant wanted_at;
+        instant requested_at;
         instant sent_at;
         bool is_sent = false;
     };
 
     using command_map = std::map<std::uint64_t, open_command>;
 
-    void on(control_link_opened const& what);
-    void on(control_link_closed const& what);
-    void on(leader_named const& what);
-    void on(registration_answered const& what);
-    void on(verdict_received const& what);
-    void on(settlement_received const& what);
-    void on(claim_wanted const& what);
-    void on(completion_wanted const& what);
-    void on(release_wanted const& what);
-    void on(unknown_wanted const& what);
-    void on(client_tick const& what);
+    void on(control_link_opened const& event);
+    void on(control_link_closed const& event);
+    void on(leader_notice_received const& event);
+    void on(registration_reply_received const& event);
+    void on(claim_reply_received const& event);
+    void on(settle_reply_received const& event);
+    void on(claim_requested const& event);
+    void on(completion_reported const& event);
+    void on(release_requested const& event);
+    void on(unknown_outcome_reported const& event);
+    void on(client_tick const& event);
 
-    void add_report(local_request request, once::once_command command);
-    void add(local_request request, once::once_command command);
+    void add_report(local_request_id request, once::once_command command);
+    void add_command(local_request_id request, once::once_command command);
     std::optional<link::link_number> leader_link() const;
     void register_self();
-    void send_open();
+    void send_unsent_commands();
     void send(std::uint64_t number, open_command& command);
-    void send_again();
-    void give_up_late_claims();
-    void note_reachability();
+    void resend_overdue_commands();
+    void abandon_expired_claims();
+    void report_reachability_change();
 
     once_client_settings settings;
     std::uint64_t incarnation;
@@ -81,7 +81,7 @@
     host_id leader;
     bool is_registered = false;
     instant registration_sent_at;
-    bool was_reachable = false;
+    bool reported_reachable = false;
     std::uint64_t last_number = 0;
     command_map commands;
     std::size_t open_claims = 0;
--- a/bilberrylead/once_client/once_client_effect.hpp
+++ b/bilberrylead/once_client/once_client_effect.hpp
@@ -24,7 +24,7 @@
 struct claim_decided
 {
     /// The request.
-    local_request request = 0;
+    local_request_id request = 0;
     /// What became of it.
     once::claim_verdict verdict;
 };
@@ -33,7 +33,7 @@
 struct completion_recorded
 {
     /// The request.
-    local_request request = 0;
+    local_request_id request = 0;
 };
 
 /// Whether claims can be had now has changed.
--- a/bilberrylead/once_client/once_client_event.hpp
+++ b/bilberrylead/once_client/once_client_event.hpp
@@ -17,7 +17,7 @@
 {
 
 /// The entry host's own number of a request; never used twice by a process.
-using local_request = std::uint64_t;
+using local_request_id = std::uint64_t;
 
 /// A link to a control host is open.
 struct control_link_opened
@@ -36,7 +36,7 @@
 };
 
 /// A control host said who leads.
-struct leader_named
+struct leader_notice_received
 {
     /// Over which link.
     link::link_number link = 0;
@@ -45,31 +45,31 @@
 };
 
 /// A control host answered a registration.
-struct registration_answered
+struct registration_reply_received
 {
     /// What it said.
     link::registration_reply content;
 };
 
 /// A control host answered a claim.
-struct verdict_received
+struct claim_reply_received
 {
     /// What it said.
     link::claim_reply content;
 };
 
 /// A control host answered a report.
-struct settlement_received
+struct settle_reply_received
 {
     /// What it said.
     link::settle_reply content;
 };
 
 /// A request needs its claim before it is forwarded.
-struct claim_wanted
+struct claim_requested
 {
     /// The request.
-    local_request request = 0;
+    local_request_id request = 0;
     /// What it would run.
     once::claim_key key;
     /// Digest of method, target and body.
@@ -77,10 +77,10 @@
 };
 
 /// A claimed request ended with an answer.
-struct completion_wanted
+struct completion_reported
 {
     /// The request.
-    local_request request = 0;
+    local_request_id request = 0;
     /// What it ran.
     once::claim_key key;
     /// What the upstream answered.
@@ -88,19 +88,19 @@
 };
 
 /// A claimed request was not run and will not be.
-struct release_wanted
+struct release_requested
 {
     /// The request.
-    local_request request = 0;
+    local_request_id request = 0;
     /// What it did not run.
     once::claim_key key;
 };
 
 /// A claimed request may have run, and its answer is lost.
-struct unknown_wanted
+struct unknown_outcome_reported
 {
     /// The request.
-    local_request request = 0;
+    local_request_id request = 0;
     /// What it may have run.
     once::claim_key key;
 };
@@ -112,10 +112,11 @@
 
 /// Everything that can happen to a once_client.
 using once_client_event =
-    std::variant<control_link_opened, control_link_closed, leader_named,
-                 registration_answered, verdict_received, settlement_received,
-                 claim_wanted, completion_wanted, release_wanted,
-                 unknown_wanted, client_tick>;
+    std::variant<control_link_opened, control_link_closed,
+                 leader_notice_received, registration_reply_received,
+                 claim_reply_received, settle_reply_received, claim_requested,
+                 completion_reported, release_requested,
+                 unknown_outcome_reported, client_tick>;
 
 } // namespace bilberrylead::once_client
 
--- a/bilberrylead/once_client/once_client_settings.hpp
+++ b/bilberrylead/once_client/once_client_settings.hpp
@@ -25,12 +25,12 @@
     duration claim_timeout = std::chrono::milliseconds(1000);
     /// When an unanswered message is sent again: beyond a slow round trip,
     /// so that resends are rare.
-    duration resend_after = std::chrono::milliseconds(400);
+    duration resend_interval = std::chrono::milliseconds(400);
     /// Reports that may wait to be recorded. Beyond it the oldest is given
     /// up, and its record falls due as outcome unknown by itself.
-    std::size_t most_open_reports = 10000;
+    std::size_t max_open_reports = 10000;
     /// Claims that may wait for a verdict; more are refused at once.
-    std::size_t most_open_claims = 4096;
+    std::size_t max_open_claims = 4096;
     /// What a refused caller is told to wait: an election and a little.
     duration retry_after = std::chrono::seconds(2);
 };
--- a/tests/unit/once_client/once_client_schedule_test.cpp
+++ b/tests/unit/once_client/once_client_schedule_test.cpp
@@ -26,11 +26,11 @@
 
 /// One client and two control hosts over links that lose, repeat and
 /// reorder; which of the two leads changes, the records go on.
-struct schedule
+struct simulation
 {
-    static constexpr std::uint64_t keys = 5;
+    static constexpr std::uint64_t key_count = 5;
 
-    struct letter
+    struct envelope
     {
         link::link_number link = 0;
         bool to_control = false;
@@ -45,7 +45,8 @@
         return result;
     }
 
-    explicit schedule(std::uint64_t seed) : client(settings()), generator(seed)
+    explicit simulation(std::uint64_t seed)
+        : client(settings()), generator(seed)
     {
         this->open_link(1);
         this->open_link(2);
@@ -63,19 +64,19 @@
 
     void open_link(link::link_number link)
     {
-        this->give(control_link_opened{link, this->host_of(link)});
-        this->on_way.push_back(
+        this->reduce_event(control_link_opened{link, this->host_of(link)});
+        this->in_flight.push_back(
             {link, false, link::leader_notice{this->leader, 0}});
     }
 
-    void give(once_client_event const& what)
+    void reduce_event(once_client_event const& event)
     {
-        for (once_client_effect& effect : this->client.reduce(what, this->now))
+        for (once_client_effect& effect : this->client.reduce(event, this->now))
         {
             if (send_to_control* const sent =
                     std::get_if<send_to_control>(&effect))
             {
-                this->on_way.push_back(
+                this->in_flight.push_back(
                     {sent->link, true, std::move(sent->content)});
             }
             else if (claim_decided const* const decided =
@@ -91,7 +92,7 @@
             else if (completion_recorded const* const recorded =
                          std::get_if<completion_recorded>(&effect))
             {
-                this->unrecorded.erase(recorded->request);
+                this->unrecorded_requests.erase(recorded->request);
             }
         }
     }
@@ -99,134 +100,139 @@
     void claim()
     {
         ++this->last_request;
-        std::uint64_t const key = this->generator() % keys;
+        std::uint64_t const key = this->generator() % key_count;
         this->key_by_request[this->last_request] = key;
-        this->give(claim_wanted{this->last_request, key_of(key), 9});
+        this->reduce_event(claim_requested{this->last_request, key_of(key), 9});
     }
 
     /// Ends a request that was granted: it ran, was not run, or nobody knows.
-    void end_one()
+    void finish_one_request()
     {
         if (this->granted.empty())
         {
             return;
         }
-        local_request const request = this->granted.back();
+        local_request_id const request = this->granted.back();
         this->granted.pop_back();
         std::uint64_t const key = this->key_by_request.at(request);
         if (this->chance(40))
         {
-            this->give(release_wanted{request, key_of(key)});
+            this->reduce_event(release_requested{request, key_of(key)});
             return;
         }
         ++this->runs[key];
         if (this->chance(30))
         {
-            this->give(unknown_wanted{request, key_of(key)});
+            this->reduce_event(unknown_outcome_reported{request, key_of(key)});
             return;
         }
-        this->unrecorded.insert(request);
-        this->give(
-            completion_wanted{request, key_of(key), {200, "", {}, false}});
+        this->unrecorded_requests.insert(request);
+        this->reduce_event(
+            completion_reported{request, key_of(key), {200, "", {}, false}});
     }
 
     /// Delivers one message, whichever it is; keeps it for a repeat at times.
     void deliver_one(bool reliable)
     {
-        if (this->on_way.empty())
+        if (this->in_flight.empty())
         {
             return;
         }
-        std::size_t const place = this->generator() % this->on_way.size();
-        letter const taken = this->on_way[place];
+        std::size_t const index = this->generator() % this->in_flight.size();
+        envelope const delivered = this->in_flight[index];
         if (reliable || !this->chance(10))
         {
-            this->on_way.erase(this->on_way.begin() +
-                               static_cast<std::ptrdiff_t>(place));
+            this->in_flight.erase(this->in_flight.begin() +
+                                  static_cast<std::ptrdiff_t>(index));
         }
         if (!reliable && this->chance(20))
         {
             return;
         }
         std::visit(
-            [this, &taken](auto const& said)
+            [this, &delivered](auto const& message)
             {
-                this->hear(taken.link, said);
+                this->receive(delivered.link, message);
             },
-            taken.content);
+            delivered.content);
     }
 
-    void answer(link::link_number link, link::message content)
+    void reply(link::link_number link, link::message content)
     {
-        this->on_way.push_back({link, false, std::move(content)});
+        this->in_flight.push_back({link, false, std::move(content)});
     }
 
-    void hear(link::link_number link, link::registration_request const& said)
+    void receive(link::link_number link,
+                 link::registration_request const& message)
     {
         if (this->host_of(link) != this->leader)
         {
-            this->answer(link, link::leader_notice{this->leader, 0});
+            this->reply(link, link::leader_notice{this->leader, 0});
             return;
         }
-        this->answer(link, link::registration_reply{
-                               this->records.apply(once::register_entry_host{
-                                   host_id("e1"), said.incarnation})});
+        this->reply(link, link::registration_reply{
+                              this->records.apply(once::register_entry_host{
+                                  host_id("e1"), message.incarnation})});
     }
 
-    void hear(link::link_number link, link::once_request const& said)
+    void receive(link::link_number link, link::once_request const& message)
     {
         if (this->host_of(link) != this->leader)
         {
-            this->answer(link, link::leader_notice{this->leader, said.number});
+            this->reply(link,
+                        link::leader_notice{this->leader, message.number});
         }
         else if (once::claim const* claim =
-                     std::get_if<once::claim>(&said.command))
+                     std::get_if<once::claim>(&message.command))
         {
-            this->answer(link, link::claim_reply{said.number,
-                                                 this->records.apply(*claim)});
+            this->reply(link, link::claim_reply{message.number,
+                                                this->records.apply(*claim)});
         }
-        else if (once::complete const* done =
-                     std::get_if<once::complete>(&said.command))
+        else if (once::complete const* completion =
+                     std::get_if<once::complete>(&message.command))
         {
-            this->answer(link, link::settle_reply{said.number,
-                                                  this->records.apply(*done)});
+            this->reply(link,
+                        link::settle_reply{message.number,
+                                           this->records.apply(*completion)});
         }
-        else if (once::release const* back =
-                     std::get_if<once::release>(&said.command))
+        else if (once::release const* release =
+                     std::get_if<once::release>(&message.command))
         {
-            this->answer(link, link::settle_reply{said.number,
-                                                  this->records.apply(*back)});
+            this->reply(link,
+                        link::settle_reply{message.number,
+                                           this->records.apply(*release)});
         }
-        else if (once::mark_unknown const* lost =
-                     std::get_if<once::mark_unknown>(&said.command))
+        else if (once::mark_unknown const* unknown =
+                     std::get_if<once::mark_unknown>(&message.command))
         {
-            this->answer(link, link::settle_reply{said.number,
-                                                  this->records.apply(*lost)});
+            this->reply(link,
+                        link::settle_reply{message.number,
+                                           this->records.apply(*unknown)});
         }
     }
 
-    void hear(link::link_number link, link::leader_notice const& said)
+    void receive(link::link_number link, link::leader_notice const& message)
     {
-        this->give(leader_named{link, said});
+        this->reduce_event(leader_notice_received{link, message});
     }
 
-    void hear(link::link_number, link::registration_reply const& said)
+    void receive(link::link_number, link::registration_reply const& message)
     {
-        this->give(registration_answered{said});
+        this->reduce_event(registration_reply_received{message});
     }
 
-    void hear(link::link_number, link::claim_reply const& said)
+    void receive(link::link_number, link::claim_reply const& message)
     {
-        this->give(verdict_received{said});
+        this->reduce_event(claim_reply_received{message});
     }
 
-    void hear(link::link_number, link::settle_reply const& said)
+    void receive(link::link_number, link::settle_reply const& message)
     {
-        this->give(settlement_received{said});
+        this->reduce_event(settle_reply_received{message});
     }
 
     template <class Other>
-    void hear(link::link_number, Other const&)
+    void receive(link::link_number, Other const&)
     {
         cr_assert_fail("a message that is none of these links'");
     }
@@ -236,34 +242,34 @@
         this->leader = host_id(this->leader.text() == "c1" ? "c2" : "c1");
         for (link::link_number link = 1; link <= 2; ++link)
         {
-            this->answer(link, link::leader_notice{this->leader, 0});
+            this->reply(link, link::leader_notice{this->leader, 0});
         }
     }
 
-    void pass_time()
+    void advance_time()
     {
         this->now += std::chrono::milliseconds(50);
-        this->give(client_tick{});
+        this->reduce_event(client_tick{});
     }
 
     void step()
     {
-        std::uint64_t const drawn = this->generator() % 100;
-        if (drawn < 50)
+        std::uint64_t const draw = this->generator() % 100;
+        if (draw < 50)
         {
             this->deliver_one(false);
         }
-        else if (drawn < 65)
+        else if (draw < 65)
         {
             this->claim();
         }
-        else if (drawn < 80)
+        else if (draw < 80)
         {
-            this->end_one();
+            this->finish_one_request();
         }
-        else if (drawn < 98)
+        else if (draw < 98)
         {
-            this->pass_time();
+            this->advance_time();
         }
         else
         {
@@ -272,17 +278,17 @@
     }
 
     /// Ends what is open over links that lose nothing any more.
-    void settle()
+    void run_until_quiet()
     {
         this->change_leader();
         for (int round = 0; round < 60; ++round)
         {
             while (!this->granted.empty())
             {
-                this->end_one();
+                this->finish_one_request();
             }
-            this->pass_time();
-            while (!this->on_way.empty())
+            this->advance_time();
+            while (!this->in_flight.empty())
             {
                 this->deliver_one(true);
             }
@@ -294,12 +300,12 @@
     std::mt19937_64 generator;
     instant now{std::chrono::seconds(1)};
     host_id leader{"c1"};
-    std::vector<letter> on_way;
-    local_request last_request = 0;
-    std::map<local_request, std::uint64_t> key_by_request;
-    std::map<local_request, std::size_t> decisions;
-    std::vector<local_request> granted;
-    std::set<local_request> unrecorded;
+    std::vector<envelope> in_flight;
+    local_request_id last_request = 0;
+    std::map<local_request_id, std::uint64_t> key_by_request;
+    std::map<local_request_id, std::size_t> decisions;
+    std::vector<local_request_id> granted;
+    std::set<local_request_id> unrecorded_requests;
     std::map<std::uint64_t, std::size_t> runs;
 };
 
@@ -314,20 +320,21 @@
     std::size_t runs = 0;
     for (std::uint64_t seed = 1; seed <= 300; ++seed)
     {
-        schedule run(seed);
+        simulation run(seed);
         for (int step = 0; step < 400; ++step)
         {
             run.step();
         }
-        run.settle();
+        run.run_until_quiet();
         cr_assert_eq(run.decisions.size(), run.last_request, "seed %zu",
                      std::size_t(seed));
         for (auto const& [request, count] : run.decisions)
         {
             cr_assert_eq(count, 1U, "seed %zu", std::size_t(seed));
         }
-        cr_assert(run.unrecorded.empty(), "seed %zu", std::size_t(seed));
-        for (std::uint64_t key = 0; key < schedule::keys; ++key)
+        cr_assert(run.unrecorded_requests.empty(), "seed %zu",
+                  std::size_t(seed));
+        for (std::uint64_t key = 0; key < simulation::key_count; ++key)
         {
             cr_assert_leq(run.runs[key], 1U, "seed %zu", std::size_t(seed));
             cr_assert(run.records.state_of(key_of(key)) !=
