--- a/bilberrylead/once_client/once_client.cpp
+++ b/bilberrylead/once_client/once_client.cpp
@@ -55,7 +55,7 @@
         return;
     }
 
-    // What was on its way may be lost with the link.
+    // Commands in flight may be lost with the link.
     for (command_map::value_type& entry : this->commands)
     {
         entry.second.is_sent = false;
@@ -80,9 +80,9 @@
         refused->second.is_sent = false;
     }
 
-    // A host that refuses while it names itself is just losing its office;
-    // the next tick asks again, this event must not, or the two would
-    // exchange refusals as fast as the link allows.
+    // A host that refuses a command and names itself as leader is losing its
+    // leadership. The next client_tick resends; resending here would exchange
+    // commands and refusals as fast as the link allows.
     bool const refused_by_named_leader =
         event.content.refused_number != 0 &&
         this->links[event.link] == event.content.leader;
@@ -103,7 +103,8 @@
     }
     else if (!result.accepted && result.incarnation >= this->incarnation)
     {
-        // An earlier life had a larger number: the wall clock went back.
+        // A previous incarnation of this process has a larger number, because
+        // the wall clock was set back.
         this->incarnation = result.incarnation + 1;
         this->is_registered = false;
         this->registration_sent_at = {};
@@ -147,7 +148,7 @@
 
 void once_client::on(claim_requested const& event)
 {
-    // Without a leader nothing can be claimed within the caller's time.
+    // Without a leader no claim can be decided before the caller's deadline.
     bool const at_capacity =
         this->open_claims >= this->settings.max_open_claims;
     if (!this->reachable() || at_capacity)
@@ -229,7 +230,7 @@
 
 std::optional<link::link_number> once_client::leader_link() const
 {
-    // The newest link to the leader: an older one may have gone silent.
+    // Prefers the newest link: an older one may be unresponsive.
     for (auto entry = this->links.rbegin(); entry != this->links.rend();
          ++entry)
     {
--- a/bilberrylead/once_client/once_client.hpp
+++ b/bilberrylead/once_client/once_client.hpp
@@ -14,33 +14,37 @@
 namespace bilberrylead::once_client
 {
 
-/// Gets claims for an entry host's requests and reports how they ended, as
-/// a reducer without clock or I/O. It finds the leader, sends again what
-/// was lost, and gives up a claim in time for the caller's answer.
+/// Acquires claims for an entry host's requests and reports their outcomes,
+/// as a reducer without clock or I/O. Sends commands to the leader, resends
+/// those that got no reply, and abandons a claim after
+/// once_client_settings::claim_timeout, so that the caller is answered in
+/// time.
 ///
-/// A claim that is given up may still be granted later, when its message
-/// arrives late: a release follows it, so that the work can be claimed
-/// again and the record never waits for somebody who has gone.
+/// An abandoned claim may still be granted if its message arrives late. The
+/// client therefore sends a release after it, so that the work can be
+/// claimed again and the record does not stay open without a holder.
 class once_client
 {
 public:
-    /// Makes a client without links.
+    /// Starts without links and not registered.
     explicit once_client(once_client_settings const& settings);
 
-    /// Takes one event. `now` never goes back.
+    /// Processes one event and returns the resulting effects. `now` must not
+    /// be earlier than in the previous call.
     std::vector<once_client_effect> reduce(once_client_event const& event,
                                            instant now);
 
-    /// True if a leader is linked and knows this incarnation.
+    /// True if a link to the leader is open and a leader has registered this
+    /// incarnation.
     bool reachable() const;
 
-    /// The request's id in claims: this host's, this process's. It keeps the
-    /// number that the process started with when a larger incarnation is
-    /// taken, so that a claim under way keeps its id.
+    /// The id of the request in claims: host, incarnation and request number.
+    /// Uses the incarnation that the process started with even after it has
+    /// registered with a larger one, so that a claim in flight keeps its id.
     request_id id_of(local_request_id request) const;
 
 private:
-    /// A claim or report without an answer yet.
+    /// A claim or report that has no reply yet.
     struct open_command
     {
         local_request_id request = 0;
--- a/bilberrylead/once_client/once_client_effect.hpp
+++ b/bilberrylead/once_client/once_client_effect.hpp
@@ -14,36 +14,38 @@
 /// Send a message to a control host.
 struct send_to_control
 {
-    /// Over which link.
+    /// The link to send over.
     link::link_number link = 0;
-    /// What to send.
+    /// The message.
     link::message content;
 };
 
-/// The claim of a request is decided. Said exactly once for each.
+/// The claim of a request is decided. Emitted exactly once per
+/// claim_requested.
 struct claim_decided
 {
     /// The request.
     local_request_id request = 0;
-    /// What became of it.
+    /// The verdict of the control hosts, or a refusal by this client.
     once::claim_verdict verdict;
 };
 
-/// The answer of a request is on record.
+/// A control host replied to the completion report of a request.
 struct completion_recorded
 {
     /// The request.
     local_request_id request = 0;
 };
 
-/// Whether claims can be had now has changed.
+/// The result of once_client::reachable() has changed.
 struct reachability_changed
 {
-    /// True if a leader is linked and knows this incarnation.
+    /// True if a link to the leader is open and a leader has registered this
+    /// incarnation.
     bool reachable = false;
 };
 
-/// What a once_client wants done.
+/// The effects of once_client::reduce(), for its owner to carry out.
 using once_client_effect =
     std::variant<send_to_control, claim_decided, completion_recorded,
                  reachability_changed>;
--- a/bilberrylead/once_client/once_client_event.hpp
+++ b/bilberrylead/once_client/once_client_event.hpp
@@ -16,61 +16,61 @@
 namespace bilberrylead::once_client
 {
 
-/// The entry host's own number of a request; never used twice by a process.
+/// Number of a request on this entry host; never reused within a process.
 using local_request_id = std::uint64_t;
 
 /// A link to a control host is open.
 struct control_link_opened
 {
-    /// Which one.
+    /// The link.
     link::link_number link = 0;
-    /// Which control host.
+    /// The control host at the other end.
     host_id host;
 };
 
-/// A link is gone.
+/// A link to a control host has closed.
 struct control_link_closed
 {
-    /// Which one.
+    /// The link.
     link::link_number link = 0;
 };
 
-/// A control host said who leads.
+/// A control host reported which host is the leader.
 struct leader_notice_received
 {
-    /// Over which link.
+    /// The link that it arrived on.
     link::link_number link = 0;
-    /// What it said.
+    /// The message.
     link::leader_notice content;
 };
 
-/// A control host answered a registration.
+/// A control host replied to a registration.
 struct registration_reply_received
 {
-    /// What it said.
+    /// The message.
     link::registration_reply content;
 };
 
-/// A control host answered a claim.
+/// A control host replied to a claim.
 struct claim_reply_received
 {
-    /// What it said.
+    /// The message.
     link::claim_reply content;
 };
 
-/// A control host answered a report.
+/// A control host replied to a completion, release or unknown outcome.
 struct settle_reply_received
 {
-    /// What it said.
+    /// The message.
     link::settle_reply content;
 };
 
-/// A request needs its claim before it is forwarded.
+/// A request needs a claim before it can be forwarded.
 struct claim_requested
 {
     /// The request.
     local_request_id request = 0;
-    /// What it would run.
+    /// The key of the work to run.
     once::claim_key key;
     /// Digest of method, target and body.
     std::uint64_t body_digest = 0;
@@ -81,9 +81,9 @@
 {
     /// The request.
     local_request_id request = 0;
-    /// What it ran.
+    /// The key of the work that ran.
     once::claim_key key;
-    /// What the upstream answered.
+    /// The upstream's answer.
     once::recorded_answer answer;
 };
 
@@ -92,7 +92,7 @@
 {
     /// The request.
     local_request_id request = 0;
-    /// What it did not run.
+    /// The key of the work that did not run.
     once::claim_key key;
 };
 
@@ -101,16 +101,16 @@
 {
     /// The request.
     local_request_id request = 0;
-    /// What it may have run.
+    /// The key of the work that may have run.
     once::claim_key key;
 };
 
-/// Time has passed.
+/// Periodic timer; triggers resends and time-outs.
 struct client_tick
 {
 };
 
-/// Everything that can happen to a once_client.
+/// The events that once_client::reduce() accepts.
 using once_client_event =
     std::variant<control_link_opened, control_link_closed,
                  leader_notice_received, registration_reply_received,
--- a/bilberrylead/once_client/once_client_settings.hpp
+++ b/bilberrylead/once_client/once_client_settings.hpp
@@ -11,27 +11,29 @@
 namespace bilberrylead::once_client
 {
 
-/// How an entry host asks the control hosts for claims.
+/// Settings of once_client.
 struct once_client_settings
 {
-    /// This entry host.
+    /// The id of this entry host.
     host_id self;
-    /// This life of its process; larger than that of any earlier one.
+    /// Incarnation of this process; larger than that of any earlier process
+    /// of this host.
     std::uint64_t incarnation = 0;
-    /// How long a claim may wait for its verdict before the caller hears
-    /// "not run". Two round trips between regions (140 ms) and a sync fit
-    /// several times; an election (1.4 s) does not, since a caller that is
-    /// told at once when to come back is better off than one that hangs.
+    /// How long a claim may wait for its verdict before the caller receives
+    /// "not run". Several times two round trips between regions (140 ms) and
+    /// a sync, but shorter than an election (1.4 s): a prompt refusal with a
+    /// retry time serves a caller better than a long wait.
     duration claim_timeout = std::chrono::milliseconds(1000);
-    /// When an unanswered message is sent again: beyond a slow round trip,
-    /// so that resends are rare.
+    /// Time without a reply after which a message is resent. Longer than a
+    /// slow round trip, so that resends are rare.
     duration resend_interval = std::chrono::milliseconds(400);
-    /// Reports that may wait to be recorded. Beyond it the oldest is given
-    /// up, and its record falls due as outcome unknown by itself.
+    /// Maximum number of reports without a reply. Beyond it the oldest is
+    /// dropped; its record later expires with an unknown outcome.
     std::size_t max_open_reports = 10000;
-    /// Claims that may wait for a verdict; more are refused at once.
+    /// Maximum number of claims without a verdict; further claims are refused
+    /// at once.
     std::size_t max_open_claims = 4096;
-    /// What a refused caller is told to wait: an election and a little.
+    /// Retry delay sent to a refused caller; slightly longer than an election.
     duration retry_after = std::chrono::seconds(2);
 };
 
--- a/tests/unit/once_client/once_client_schedule_test.cpp
+++ b/tests/unit/once_client/once_client_schedule_test.cpp
@@ -24,8 +24,9 @@
     return {service_id("s"), caller_id("c"), std::to_string(number)};
 }
 
-/// One client and two control hosts over links that lose, repeat and
-/// reorder; which of the two leads changes, the records go on.
+/// One client and two control hosts, over links that lose, duplicate and
+/// reorder messages. The leadership changes between the two hosts, which
+/// share one set of records.
 struct simulation
 {
     static constexpr std::uint64_t key_count = 5;
@@ -105,7 +106,7 @@
         this->reduce_event(claim_requested{this->last_request, key_of(key), 9});
     }
 
-    /// Ends a request that was granted: it ran, was not run, or nobody knows.
+    /// Finishes a granted request: completed, released or outcome unknown.
     void finish_one_request()
     {
         if (this->granted.empty())
@@ -131,7 +132,8 @@
             completion_reported{request, key_of(key), {200, "", {}, false}});
     }
 
-    /// Delivers one message, whichever it is; keeps it for a repeat at times.
+    /// Delivers one message in flight, chosen at random. Unless `reliable`, it
+    /// may be lost, or stay in flight to be delivered again.
     void deliver_one(bool reliable)
     {
         if (this->in_flight.empty())
@@ -234,7 +236,7 @@
     template <class Other>
     void receive(link::link_number, Other const&)
     {
-        cr_assert_fail("a message that is none of these links'");
+        cr_assert_fail("unexpected message type");
     }
 
     void change_leader()
@@ -277,7 +279,7 @@
         }
     }
 
-    /// Ends what is open over links that lose nothing any more.
+    /// Finishes all open requests over links that lose nothing.
     void run_until_quiet()
     {
         this->change_leader();
@@ -311,10 +313,10 @@
 
 } // namespace
 
-// Messages between an entry host and two control hosts are lost, repeated
-// and overtake each other while the leadership goes to and fro. A grant may
-// arrive after its request was told "not run". Whatever comes: no key runs
-// twice, each request hears one verdict, and each answer gets on record.
+// Messages between an entry host and two control hosts are lost, duplicated
+// and reordered while the leadership changes. A grant may arrive after its
+// request was answered "not run". In every schedule no key runs twice, each
+// request receives exactly one verdict, and each answer is recorded.
 Test(once_client, any_schedule_decides_each_claim_once_and_records_reports)
 {
     std::size_t runs = 0;
@@ -339,10 +341,10 @@
             cr_assert_leq(run.runs[key], 1U, "seed %zu", std::size_t(seed));
             cr_assert(run.records.state_of(key_of(key)) !=
                           once::claim_state::open,
-                      "seed %zu, key %zu waits for nobody", std::size_t(seed),
+                      "seed %zu, key %zu is still open", std::size_t(seed),
                       std::size_t(key));
             runs += run.runs[key];
         }
     }
-    cr_assert_gt(runs, 300U, "the schedules hardly ran anything: %zu", runs);
+    cr_assert_gt(runs, 300U, "too few runs over all schedules: %zu", runs);
 }
--- a/tests/unit/once_client/once_client_test.cpp
+++ b/tests/unit/once_client/once_client_test.cpp
@@ -22,7 +22,7 @@
     return {service_id("grants"), caller_id("publisher"), "key-1"};
 }
 
-/// A client of entry host e1 and what it wanted done.
+/// A client of entry host e1 and the effects of its last event.
 struct client_fixture
 {
     client_fixture() : client(settings())
@@ -48,7 +48,7 @@
         this->reduce_event(client_tick{});
     }
 
-    /// Links to c1, which leads, and registers.
+    /// Opens a link to c1, the leader, and registers.
     void connect()
     {
         this->reduce_event(control_link_opened{first_link, host_id("c1")});
@@ -113,9 +113,9 @@
     cr_assert(f.client.reachable());
 }
 
-// The host's wall clock went back between two lives of the process, so that
-// its new incarnation is smaller than its old one. It must not run on as
-// its former self: it takes a larger one and registers again.
+// The wall clock was set back between two incarnations of the process, so
+// that the new number is smaller than the previous one. The client must not
+// continue with it, but choose a larger one and register again.
 Test(once_client, incarnation_when_superseded_is_raised)
 {
     client_fixture f;
@@ -129,9 +129,9 @@
         501U);
 }
 
-// The leader dies with a claim on its way. The client sends the same claim,
-// same request id, to the next leader; the records decide by that id, so
-// that a claim which was granted already is granted again, not doubled.
+// The leader fails with a claim in flight. The client sends the same claim
+// with the same request id to the next leader. The records decide by that
+// id: a claim that was already granted is granted again to the same request.
 Test(once_client, claim_when_the_leader_changes_is_sent_again_unchanged)
 {
     client_fixture f;
@@ -146,9 +146,10 @@
     cr_assert_eq(f.effects_of<send_to_control>()[0].link, second_link);
 }
 
-// No verdict comes in time: the caller hears "not run". The claim may still
-// be granted when its message arrives late, and would then block the
-// caller's own repeat. A release with the same request id follows it.
+// No verdict arrives in time and the caller receives "not run". The claim
+// may still be granted if its message arrives late, and would then block the
+// caller's own repeat. The client must send a release with the same request
+// id after it.
 Test(once_client, claim_when_abandoned_is_released)
 {
     client_fixture f;
@@ -163,7 +164,7 @@
     cr_assert_not_null(release);
     cr_assert(release->request == f.client.id_of(7));
 
-    // Its late verdict is nobody's any more.
+    // A late verdict of the abandoned claim is ignored.
     f.reduce_event(claim_reply_received{{1, once::claim_granted{}}});
     cr_assert(f.effects_of<claim_decided>().empty());
 }
@@ -183,8 +184,8 @@
     cr_assert(f.requests().empty());
 }
 
-// A host that has just lost its office names itself in its refusal. Asking
-// it again at once would bounce between the two without end.
+// A host that is losing its leadership names itself in its refusal.
+// Resending at once would exchange commands and refusals without end.
 Test(once_client, refusal_by_the_named_leader_is_retried_later)
 {
     client_fixture f;
