--- a/bilberrylead/link/message_reader.cpp
+++ b/bilberrylead/link/message_reader.cpp
@@ -286,7 +286,7 @@
         once::claim_refused verdict;
         std::uint64_t const reason = fields.take_unsigned();
         std::uint64_t const last =
-            static_cast<std::uint64_t>(once::claim_refusal::given_up);
+            static_cast<std::uint64_t>(once::claim_refusal::abandoned);
         if (reason > last)
         {
             return std::nullopt;
--- a/bilberrylead/once/claim_record.hpp
+++ b/bilberrylead/once/claim_record.hpp
@@ -45,7 +45,7 @@
     std::pair<caller_id const, std::size_t>* caller = nullptr;
     /// When the record changes by itself, in time of the log: open becomes
     /// unknown, recorded and unknown become a spent key, released goes.
-    duration due{};
+    duration expires_at{};
     /// The answer, in state recorded.
     recorded_answer answer;
 };
--- a/bilberrylead/once/claim_verdict.hpp
+++ b/bilberrylead/once/claim_verdict.hpp
@@ -50,7 +50,7 @@
     /// The key or a name is longer than is kept.
     key_too_long,
     /// This same request released its claim before: it was given up.
-    given_up,
+    abandoned,
 };
 
 /// Nothing was claimed, nothing runs.
--- a/bilberrylead/once/once_records.cpp
+++ b/bilberrylead/once/once_records.cpp
@@ -22,7 +22,7 @@
     : settings(bounds), spent(bounds)
 {
     assert(bounds.retention > duration::zero());
-    assert(bounds.longest_run > duration::zero());
+    assert(bounds.max_run_time > duration::zero());
     assert(bounds.spent_retention > duration::zero());
 }
 
@@ -38,7 +38,7 @@
     auto const found = this->records.find(key);
     if (found != this->records.end())
     {
-        return this->repeat(*found, command);
+        return this->decide_existing(*found, command);
     }
     // Its answer is gone, but it ran or may have: never again.
     if (this->spent.contains(key))
@@ -46,11 +46,11 @@
         return claim_outcome_unknown{};
     }
     work_digest const request = work_digest::of(command.request);
-    if (this->given_up.contains(request))
+    if (this->abandoned.contains(request))
     {
-        return this->refuse(claim_refusal::given_up);
+        return this->refuse(claim_refusal::abandoned);
     }
-    std::optional<claim_refusal> const refusal = this->refusal_of(command);
+    std::optional<claim_refusal> const refusal = this->find_refusal(command);
     if (refusal.has_value())
     {
         return this->refuse(*refusal);
@@ -59,19 +59,19 @@
     record.body_digest = command.body_digest;
     record.request = work_digest::of(command.request);
     record.incarnation = command.incarnation;
-    record.due = this->now + this->settings.longest_run;
+    record.expires_at = this->now + this->settings.max_run_time;
     this->insert(key, command.key.caller, command.entry_host,
                  std::move(record));
     return claim_granted{};
 }
 
-void once_records::give_up(work_digest const& request)
+void once_records::abandon(work_digest const& request)
 {
-    this->given_up.add(request, this->now + this->settings.longest_run);
+    this->abandoned.add(request, this->now + this->settings.max_run_time);
 }
 
-claim_verdict once_records::repeat(record_map::value_type& found,
-                                   claim const& command)
+claim_verdict once_records::decide_existing(record_map::value_type& found,
+                                            claim const& command)
 {
     claim_record& record = found.second;
     bool const same_request =
@@ -83,9 +83,9 @@
     if (record.state == claim_state::released)
     {
         if (same_request ||
-            this->given_up.contains(work_digest::of(command.request)))
+            this->abandoned.contains(work_digest::of(command.request)))
         {
-            return this->refuse(claim_refusal::given_up);
+            return this->refuse(claim_refusal::abandoned);
         }
         this->erase(this->records.find(found.first));
         return this->apply(command);
@@ -105,7 +105,7 @@
         }
         // Its caller is told to ask again, with a new request. A late copy
         // of this claim must not be granted once the holder gave up.
-        this->give_up(work_digest::of(command.request));
+        this->abandon(work_digest::of(command.request));
         return claim_in_progress{};
     case claim_state::recorded:
         return claim_recorded{record.answer};
@@ -135,9 +135,9 @@
     {
         return settle_result::already_settled;
     }
-    record.answer = this->cut_to_room(command.answer);
-    this->bytes_held += size_of(record.answer);
-    this->settle(*found, claim_state::recorded, this->settings.retention);
+    record.answer = this->fit_answer(command.answer);
+    this->held_answer_bytes += size_of(record.answer);
+    this->set_state(*found, claim_state::recorded, this->settings.retention);
     return settle_result::done;
 }
 
@@ -150,22 +150,23 @@
                             found->second.state != claim_state::open;
     if (!is_settled)
     {
-        this->give_up(request);
+        this->abandon(request);
     }
     if (found == this->records.end())
     {
         // The release overtook its claim. The mark it leaves lives as long
         // as a claim can be on its way.
-        claim const late{command.key, 0, command.request, host_id(), 0};
+        claim const overtaken_claim{command.key, 0, command.request, host_id(),
+                                    0};
         if (this->spent.contains(work_digest::of(command.key)) ||
-            this->refusal_of(late).has_value())
+            this->find_refusal(overtaken_claim).has_value())
         {
             return settle_result::no_record;
         }
         claim_record record;
         record.state = claim_state::released;
         record.request = work_digest::of(command.request);
-        record.due = this->now + this->settings.longest_run;
+        record.expires_at = this->now + this->settings.max_run_time;
         this->insert(work_digest::of(command.key), command.key.caller,
                      host_id(), std::move(record));
         return settle_result::done;
@@ -179,7 +180,7 @@
     {
         return settle_result::already_settled;
     }
-    this->settle(*found, claim_state::released, this->settings.longest_run);
+    this->set_state(*found, claim_state::released, this->settings.max_run_time);
     return settle_result::done;
 }
 
@@ -198,20 +199,21 @@
     {
         return settle_result::already_settled;
     }
-    this->settle(*found, claim_state::unknown, this->settings.retention);
+    this->set_state(*found, claim_state::unknown, this->settings.retention);
     return settle_result::done;
 }
 
 registration once_records::apply(register_entry_host const& command)
 {
-    auto const known = this->incarnations.find(command.entry_host);
-    bool const is_new = known == this->incarnations.end();
-    if (!is_new && command.incarnation <= known->second)
+    auto const registered = this->incarnations.find(command.entry_host);
+    bool const is_new = registered == this->incarnations.end();
+    if (!is_new && command.incarnation <= registered->second)
     {
-        return {command.incarnation == known->second, known->second, 0};
+        return {command.incarnation == registered->second, registered->second,
+                0};
     }
-    if (command.entry_host.text().size() > this->settings.longest_name ||
-        (is_new && this->incarnations.size() >= this->settings.largest_hosts))
+    if (command.entry_host.text().size() > this->settings.max_name_bytes ||
+        (is_new && this->incarnations.size() >= this->settings.max_hosts))
     {
         return {};
     }
@@ -227,7 +229,8 @@
             *record.entry_host == command.entry_host &&
             record.incarnation < command.incarnation)
         {
-            this->settle(entry, claim_state::unknown, this->settings.retention);
+            this->set_state(entry, claim_state::unknown,
+                            this->settings.retention);
             ++result.outcomes_unknown;
         }
     }
@@ -237,29 +240,31 @@
 duration once_records::apply(advance_time const& command)
 {
     this->now += std::clamp(command.elapsed, duration::zero(),
-                            this->settings.largest_time_step);
-    this->fall_due();
+                            this->settings.max_time_step);
+    this->expire_due_records();
     return this->now;
 }
 
-void once_records::fall_due()
+void once_records::expire_due_records()
 {
     this->spent.expire(this->now);
-    this->given_up.expire(this->now);
-    while (!this->due.empty() && this->due.begin()->first <= this->now)
+    this->abandoned.expire(this->now);
+    while (!this->expiry_queue.empty() &&
+           this->expiry_queue.begin()->first <= this->now)
     {
-        auto const found = this->records.find(*this->due.begin()->second);
+        auto const found =
+            this->records.find(*this->expiry_queue.begin()->second);
         assert(found != this->records.end());
-        this->expire(found);
+        this->expire_record(found);
     }
 }
 
-void once_records::expire(record_map::iterator found)
+void once_records::expire_record(record_map::iterator found)
 {
     claim_state const state = found->second.state;
     if (state == claim_state::open)
     {
-        this->settle(*found, claim_state::unknown, this->settings.retention);
+        this->set_state(*found, claim_state::unknown, this->settings.retention);
         return;
     }
     // A key that must not run again moves on to the spent ones. Without
@@ -268,36 +273,37 @@
     if (state != claim_state::released &&
         !this->spent.add(found->first, this->now))
     {
-        this->settle(*found, state, this->settings.largest_time_step);
+        this->set_state(*found, state, this->settings.max_time_step);
         return;
     }
     this->erase(found);
 }
 
 std::optional<claim_refusal>
-once_records::refusal_of(claim const& command) const
+once_records::find_refusal(claim const& command) const
 {
-    std::size_t const longest = this->settings.longest_name;
+    std::size_t const max_bytes = this->settings.max_name_bytes;
     for (std::string const* name :
          {&command.key.service.text(), &command.key.caller.text(),
           &command.key.idempotency_key, &command.request.text(),
           &command.entry_host.text()})
     {
-        if (name->size() > longest)
+        if (name->size() > max_bytes)
         {
             return claim_refusal::key_too_long;
         }
     }
-    bool const is_known_host = this->incarnations.contains(command.entry_host);
-    if (this->records.size() >= this->settings.largest_records ||
-        (!is_known_host &&
-         this->incarnations.size() >= this->settings.largest_hosts))
+    bool const is_registered_host =
+        this->incarnations.contains(command.entry_host);
+    if (this->records.size() >= this->settings.max_records ||
+        (!is_registered_host &&
+         this->incarnations.size() >= this->settings.max_hosts))
     {
         return claim_refusal::no_room;
     }
-    auto const held = this->records_of_caller.find(command.key.caller);
-    if (held != this->records_of_caller.end() &&
-        held->second >= this->settings.largest_records_per_caller)
+    auto const held = this->record_count_by_caller.find(command.key.caller);
+    if (held != this->record_count_by_caller.end() &&
+        held->second >= this->settings.max_records_per_caller)
     {
         return claim_refusal::caller_share;
     }
@@ -307,9 +313,9 @@
 claim_verdict once_records::refuse(claim_refusal reason) const
 {
     claim_refused refused{reason, duration::zero()};
-    if (reason == claim_refusal::no_room && !this->due.empty())
+    if (reason == claim_refusal::no_room && !this->expiry_queue.empty())
     {
-        refused.retry_after = this->due.begin()->first - this->now;
+        refused.retry_after = this->expiry_queue.begin()->first - this->now;
     }
     return refused;
 }
@@ -320,40 +326,41 @@
     // A host that claims before it registered is known from now on.
     record.entry_host =
         &this->incarnations.emplace(host, record.incarnation).first->first;
-    record.caller = &*this->records_of_caller.emplace(caller, 0).first;
+    record.caller = &*this->record_count_by_caller.emplace(caller, 0).first;
     ++record.caller->second;
-    this->bytes_held += size_of(record.answer);
-    duration const due_at = record.due;
-    auto const placed = this->records.emplace(key, std::move(record)).first;
-    this->due.emplace(due_at, &placed->first);
+    this->held_answer_bytes += size_of(record.answer);
+    duration const expires_at = record.expires_at;
+    auto const inserted = this->records.emplace(key, std::move(record)).first;
+    this->expiry_queue.emplace(expires_at, &inserted->first);
 }
 
 void once_records::erase(record_map::iterator found)
 {
     claim_record& record = found->second;
-    this->bytes_held -= size_of(record.answer);
+    this->held_answer_bytes -= size_of(record.answer);
     if (--record.caller->second == 0)
     {
-        this->records_of_caller.erase(caller_id(record.caller->first));
+        this->record_count_by_caller.erase(caller_id(record.caller->first));
     }
-    this->due.erase({record.due, &found->first});
+    this->expiry_queue.erase({record.expires_at, &found->first});
     this->records.erase(found);
 }
 
-void once_records::settle(record_map::value_type& found, claim_state state,
-                          duration kept_for)
+void once_records::set_state(record_map::value_type& found, claim_state state,
+                             duration lifetime)
 {
-    this->due.erase({found.second.due, &found.first});
+    this->expiry_queue.erase({found.second.expires_at, &found.first});
     found.second.state = state;
-    found.second.due = this->now + kept_for;
-    this->due.emplace(found.second.due, &found.first);
+    found.second.expires_at = this->now + lifetime;
+    this->expiry_queue.emplace(found.second.expires_at, &found.first);
 }
 
-recorded_answer once_records::cut_to_room(recorded_answer answer) const
+recorded_answer once_records::fit_answer(recorded_answer answer) const
 {
-    if (answer.body.size() > this->settings.largest_recorded_body ||
-        answer.content_type.size() > this->settings.longest_name ||
-        this->bytes_held + size_of(answer) > this->settings.largest_total_bytes)
+    if (answer.body.size() > this->settings.max_answer_body_bytes ||
+        answer.content_type.size() > this->settings.max_name_bytes ||
+        this->held_answer_bytes + size_of(answer) >
+            this->settings.max_total_answer_bytes)
     {
         answer.body = bytes();
         answer.content_type.clear();
@@ -365,8 +372,9 @@
 bool once_records::is_superseded(host_id const& host,
                                  std::uint64_t incarnation) const
 {
-    auto const known = this->incarnations.find(host);
-    return known != this->incarnations.end() && incarnation < known->second;
+    auto const registered = this->incarnations.find(host);
+    return registered != this->incarnations.end() &&
+           incarnation < registered->second;
 }
 
 std::optional<claim_state> once_records::state_of(claim_key const& key) const
@@ -391,9 +399,9 @@
     return this->spent.size();
 }
 
-std::size_t once_records::held_bytes() const
+std::size_t once_records::answer_bytes() const
 {
-    return this->bytes_held;
+    return this->held_answer_bytes;
 }
 
 duration once_records::log_time() const
--- a/bilberrylead/once/once_records.hpp
+++ b/bilberrylead/once/once_records.hpp
@@ -4,10 +4,10 @@
 #include "bilberrylead/core/bytes.hpp"
 #include "bilberrylead/core/ids.hpp"
 #include "bilberrylead/core/time.hpp"
+#include "bilberrylead/once/abandoned_requests.hpp"
 #include "bilberrylead/once/claim_key.hpp"
 #include "bilberrylead/once/claim_record.hpp"
 #include "bilberrylead/once/claim_verdict.hpp"
-#include "bilberrylead/once/given_up_requests.hpp"
 #include "bilberrylead/once/once_command.hpp"
 #include "bilberrylead/once/once_settings.hpp"
 #include "bilberrylead/once/registration.hpp"
@@ -67,7 +67,7 @@
     /// once_settings::largest_spent_keys.
     std::size_t spent_size() const;
     /// Bytes of answers held.
-    std::size_t held_bytes() const;
+    std::size_t answer_bytes() const;
     /// Time of the log: sum of all advance_time commands.
     duration log_time() const;
 
@@ -80,13 +80,14 @@
 
 private:
     using record_map = std::map<work_digest, claim_record>;
-    using due_entry = std::pair<duration, work_digest const*>;
+    using expiry_entry = std::pair<duration, work_digest const*>;
     /// Records that fall due at once do so in the order of their keys. By
     /// where they lie in memory, replicas would differ in which one finds
     /// the last room among the spent keys.
-    struct falls_due_before
+    struct expires_before
     {
-        bool operator()(due_entry const& left, due_entry const& right) const
+        bool operator()(expiry_entry const& left,
+                        expiry_entry const& right) const
         {
             return left.first != right.first ? left.first < right.first
                                              : *left.second < *right.second;
@@ -96,36 +97,37 @@
     using caller_map = std::unordered_map<caller_id, std::size_t>;
     using host_map = std::map<host_id, std::uint64_t>;
 
-    std::optional<claim_refusal> refusal_of(claim const& command) const;
-    claim_verdict repeat(record_map::value_type& found, claim const& command);
-    void give_up(work_digest const& request);
+    std::optional<claim_refusal> find_refusal(claim const& command) const;
+    claim_verdict decide_existing(record_map::value_type& found,
+                                  claim const& command);
+    void abandon(work_digest const& request);
     claim_verdict refuse(claim_refusal reason) const;
     void insert(work_digest const& key, caller_id const& caller,
                 host_id const& host, claim_record record);
     void erase(record_map::iterator found);
-    void settle(record_map::value_type& found, claim_state state,
-                duration kept_for);
-    recorded_answer cut_to_room(recorded_answer answer) const;
-    void fall_due();
-    void expire(record_map::iterator found);
+    void set_state(record_map::value_type& found, claim_state state,
+                   duration lifetime);
+    recorded_answer fit_answer(recorded_answer answer) const;
+    void expire_due_records();
+    void expire_record(record_map::iterator found);
     bool is_superseded(host_id const& host, std::uint64_t incarnation) const;
-    absl::Status take_hosts(std::uint64_t hosts,
-                            std::span<std::uint8_t const>& input);
-    absl::Status take_spent(std::uint64_t stretches,
-                            std::span<std::uint8_t const>& input);
-    absl::Status take_given_up(std::uint64_t number,
-                               std::span<std::uint8_t const>& input);
-    absl::Status take_records(std::uint64_t number,
+    absl::Status decode_hosts(std::uint64_t count,
                               std::span<std::uint8_t const>& input);
+    absl::Status decode_spent_keys(std::uint64_t count,
+                                   std::span<std::uint8_t const>& input);
+    absl::Status decode_abandoned(std::uint64_t count,
+                                  std::span<std::uint8_t const>& input);
+    absl::Status decode_records(std::uint64_t count,
+                                std::span<std::uint8_t const>& input);
 
     once_settings settings;
     record_map records;
-    std::set<due_entry, falls_due_before> due;
+    std::set<expiry_entry, expires_before> expiry_queue;
     host_map incarnations;
-    caller_map records_of_caller;
+    caller_map record_count_by_caller;
     spent_keys spent;
-    given_up_requests given_up;
-    std::size_t bytes_held = 0;
+    abandoned_requests abandoned;
+    std::size_t held_answer_bytes = 0;
     duration now{};
 };
 
--- a/bilberrylead/once/once_settings.hpp
+++ b/bilberrylead/once/once_settings.hpp
@@ -25,27 +25,27 @@
     /// How long a claim may stay open before its outcome counts as
     /// unknown, over 0; far above the longest deadline of a guarded
     /// request, so that it only catches holders that are gone.
-    duration longest_run = std::chrono::minutes(10);
+    duration max_run_time = std::chrono::minutes(10);
     /// Records kept at most; with the two totals below it bounds memory.
-    std::size_t largest_records = 250'000;
+    std::size_t max_records = 250'000;
     /// Records one caller may hold, so that a caller that sends new keys
     /// without end cannot shut out the others.
-    std::size_t largest_records_per_caller = 62'500;
+    std::size_t max_records_per_caller = 62'500;
     /// Keys kept at most beyond their answer. As many a second as records:
     /// 35 sustained, each.
-    std::size_t largest_spent_keys = 3'000'000;
+    std::size_t max_spent_keys = 3'000'000;
     /// Bytes of answers kept at most. When they are used up, answers are
     /// kept without their body.
-    std::size_t largest_total_bytes = std::size_t{40} << 20U;
+    std::size_t max_total_answer_bytes = std::size_t{40} << 20U;
     /// Largest body of an answer that is kept, bytes.
-    std::size_t largest_recorded_body = std::size_t{16} << 10U;
+    std::size_t max_answer_body_bytes = std::size_t{16} << 10U;
     /// Longest name or key that is taken, bytes.
-    std::size_t longest_name = 256;
+    std::size_t max_name_bytes = 256;
     /// Entry hosts known at most.
-    std::size_t largest_hosts = 10'000;
+    std::size_t max_hosts = 10'000;
     /// Largest step of the log's time in one command. A leader that was
     /// frozen, or lies, cannot make records expire faster than this.
-    duration largest_time_step = std::chrono::seconds(10);
+    duration max_time_step = std::chrono::seconds(10);
 
     friend bool operator==(once_settings const&,
                            once_settings const&) = default;
--- a/bilberrylead/once/once_snapshot.cpp
+++ b/bilberrylead/once/once_snapshot.cpp
@@ -20,34 +20,34 @@
 namespace
 {
 
-constexpr std::size_t any_length = std::numeric_limits<std::size_t>::max();
+constexpr std::size_t unlimited_length =
+    std::numeric_limits<std::size_t>::max();
 constexpr std::uint64_t snapshot_version = 3;
 
 nlohmann::json bounds_to_json(once_settings const& bounds)
 {
     return nlohmann::json::array(
         {bounds.retention.count(), bounds.spent_retention.count(),
-         bounds.longest_run.count(), bounds.largest_spent_keys,
-         bounds.largest_records, bounds.largest_records_per_caller,
-         bounds.largest_total_bytes, bounds.largest_recorded_body,
-         bounds.longest_name, bounds.largest_hosts,
-         bounds.largest_time_step.count()});
+         bounds.max_run_time.count(), bounds.max_spent_keys, bounds.max_records,
+         bounds.max_records_per_caller, bounds.max_total_answer_bytes,
+         bounds.max_answer_body_bytes, bounds.max_name_bytes, bounds.max_hosts,
+         bounds.max_time_step.count()});
 }
 
-once_settings take_bounds(cbor_fields& fields)
+once_settings read_bounds(cbor_fields& fields)
 {
     once_settings bounds;
     bounds.retention = duration(fields.take_signed());
     bounds.spent_retention = duration(fields.take_signed());
-    bounds.longest_run = duration(fields.take_signed());
-    bounds.largest_spent_keys = fields.take_unsigned();
-    bounds.largest_records = fields.take_unsigned();
-    bounds.largest_records_per_caller = fields.take_unsigned();
-    bounds.largest_total_bytes = fields.take_unsigned();
-    bounds.largest_recorded_body = fields.take_unsigned();
-    bounds.longest_name = fields.take_unsigned();
-    bounds.largest_hosts = fields.take_unsigned();
-    bounds.largest_time_step = duration(fields.take_signed());
+    bounds.max_run_time = duration(fields.take_signed());
+    bounds.max_spent_keys = fields.take_unsigned();
+    bounds.max_records = fields.take_unsigned();
+    bounds.max_records_per_caller = fields.take_unsigned();
+    bounds.max_total_answer_bytes = fields.take_unsigned();
+    bounds.max_answer_body_bytes = fields.take_unsigned();
+    bounds.max_name_bytes = fields.take_unsigned();
+    bounds.max_hosts = fields.take_unsigned();
+    bounds.max_time_step = duration(fields.take_signed());
     return bounds;
 }
 
@@ -57,7 +57,7 @@
 }
 
 /// Reads a digest; false if the field isn't one.
-bool take_digest(cbor_fields& fields, work_digest& digest)
+bool read_digest(cbor_fields& fields, work_digest& digest)
 {
     bytes const content = fields.take_bytes();
     if (content.size() != work_digest::size)
@@ -75,40 +75,41 @@
         {to_binary(key), static_cast<std::uint64_t>(record.state),
          record.body_digest, to_binary(record.request),
          record.entry_host->text(), record.incarnation,
-         record.caller->first.text(), record.due.count(), record.answer.status,
-         record.answer.content_type, nlohmann::json::binary(record.answer.body),
+         record.caller->first.text(), record.expires_at.count(),
+         record.answer.status, record.answer.content_type,
+         nlohmann::json::binary(record.answer.body),
          record.answer.body_dropped});
 }
 
-nlohmann::json stretch_to_json(spent_keys::stretch const& stretch)
+nlohmann::json bucket_to_json(spent_keys::bucket const& bucket)
 {
-    bytes all;
-    all.reserve(stretch.keys.size() * work_digest::size);
-    for (work_digest const& key : stretch.keys)
+    bytes keys;
+    keys.reserve(bucket.keys.size() * work_digest::size);
+    for (work_digest const& key : bucket.keys)
     {
-        all.insert(all.end(), key.content.begin(), key.content.end());
+        keys.insert(keys.end(), key.content.begin(), key.content.end());
     }
     return nlohmann::json::array(
-        {stretch.number, nlohmann::json::binary(std::move(all))});
+        {bucket.number, nlohmann::json::binary(std::move(keys))});
 }
 
-std::optional<spent_keys::stretch> take_stretch(cbor_fields& fields)
+std::optional<spent_keys::bucket> read_bucket(cbor_fields& fields)
 {
-    spent_keys::stretch taken;
-    taken.number = fields.take_signed();
-    bytes const all = fields.take_bytes();
-    if (!fields.complete() || all.size() % work_digest::size != 0)
+    spent_keys::bucket result;
+    result.number = fields.take_signed();
+    bytes const keys = fields.take_bytes();
+    if (!fields.complete() || keys.size() % work_digest::size != 0)
     {
         return std::nullopt;
     }
-    taken.keys.resize(all.size() / work_digest::size);
-    auto next = all.begin();
-    for (work_digest& key : taken.keys)
+    result.keys.resize(keys.size() / work_digest::size);
+    auto next = keys.begin();
+    for (work_digest& key : result.keys)
     {
         std::copy_n(next, work_digest::size, key.content.begin());
         next += work_digest::size;
     }
-    return taken;
+    return result;
 }
 
 /// A record with the names that it points to.
@@ -120,7 +121,7 @@
     claim_record record;
 };
 
-absl::Status damaged()
+absl::Status corrupt_snapshot()
 {
     return make_error(error_kind::corrupt,
                       "The snapshot of the run-at-most-once records is not "
@@ -128,33 +129,33 @@
                       "Let this host rejoin with an empty data folder.");
 }
 
-absl::StatusOr<named_record> take_record(std::span<std::uint8_t const>& input)
+absl::StatusOr<named_record> read_record(std::span<std::uint8_t const>& input)
 {
     absl::StatusOr<cbor_fields> fields = cbor_fields::take(input);
     if (!fields.ok())
     {
         return fields.status();
     }
-    named_record taken;
-    bool const has_key = take_digest(*fields, taken.key);
+    named_record result;
+    bool const has_key = read_digest(*fields, result.key);
     std::uint64_t const state = fields->take_unsigned();
-    taken.record.state = static_cast<claim_state>(state);
-    taken.record.body_digest = fields->take_unsigned();
-    bool const has_request = take_digest(*fields, taken.record.request);
-    taken.entry_host = host_id(fields->take_text(any_length));
-    taken.record.incarnation = fields->take_unsigned();
-    taken.caller = caller_id(fields->take_text(any_length));
-    taken.record.due = duration(fields->take_signed());
-    taken.record.answer.status = fields->take_unsigned_16();
-    taken.record.answer.content_type = fields->take_text(any_length);
-    taken.record.answer.body = fields->take_bytes();
-    taken.record.answer.body_dropped = fields->take_bool();
+    result.record.state = static_cast<claim_state>(state);
+    result.record.body_digest = fields->take_unsigned();
+    bool const has_request = read_digest(*fields, result.record.request);
+    result.entry_host = host_id(fields->take_text(unlimited_length));
+    result.record.incarnation = fields->take_unsigned();
+    result.caller = caller_id(fields->take_text(unlimited_length));
+    result.record.expires_at = duration(fields->take_signed());
+    result.record.answer.status = fields->take_unsigned_16();
+    result.record.answer.content_type = fields->take_text(unlimited_length);
+    result.record.answer.body = fields->take_bytes();
+    result.record.answer.body_dropped = fields->take_bool();
     if (!fields->complete() || !has_key || !has_request ||
         state > static_cast<std::uint64_t>(claim_state::released))
     {
-        return damaged();
+        return corrupt_snapshot();
     }
-    return taken;
+    return result;
 }
 
 } // namespace
@@ -162,28 +163,28 @@
 bytes once_records::encode() const
 {
     bytes output;
-    std::vector<spent_keys::stretch> const stretches = this->spent.all();
-    nlohmann::json head = bounds_to_json(this->settings);
-    head.insert(head.begin(), snapshot_version);
-    head.push_back(this->now.count());
-    head.push_back(this->incarnations.size());
-    head.push_back(stretches.size());
-    head.push_back(this->given_up.all().size());
-    head.push_back(this->records.size());
-    append_cbor(head, output);
+    std::vector<spent_keys::bucket> const buckets = this->spent.buckets();
+    nlohmann::json header = bounds_to_json(this->settings);
+    header.insert(header.begin(), snapshot_version);
+    header.push_back(this->now.count());
+    header.push_back(this->incarnations.size());
+    header.push_back(buckets.size());
+    header.push_back(this->abandoned.all().size());
+    header.push_back(this->records.size());
+    append_cbor(header, output);
     for (auto const& [host, incarnation] : this->incarnations)
     {
         append_cbor(nlohmann::json::array({host.text(), incarnation}), output);
     }
-    for (spent_keys::stretch const& stretch : stretches)
+    for (spent_keys::bucket const& bucket : buckets)
     {
-        append_cbor(stretch_to_json(stretch), output);
+        append_cbor(bucket_to_json(bucket), output);
     }
-    for (given_up_requests::mark const& mark : this->given_up.all())
+    for (abandoned_requests::entry const& entry : this->abandoned.all())
     {
-        append_cbor(
-            nlohmann::json::array({mark.due.count(), to_binary(mark.request)}),
-            output);
+        append_cbor(nlohmann::json::array(
+                        {entry.expires_at.count(), to_binary(entry.request)}),
+                    output);
     }
     for (auto const& [key, record] : this->records)
     {
@@ -192,81 +193,83 @@
     return output;
 }
 
-absl::Status once_records::take_hosts(std::uint64_t hosts,
-                                      std::span<std::uint8_t const>& input)
+absl::Status once_records::decode_hosts(std::uint64_t count,
+                                        std::span<std::uint8_t const>& input)
 {
-    for (std::uint64_t i = 0; i < hosts; ++i)
+    for (std::uint64_t i = 0; i < count; ++i)
     {
         absl::StatusOr<cbor_fields> fields = cbor_fields::take(input);
         if (!fields.ok())
         {
-            return damaged();
+            return corrupt_snapshot();
         }
-        host_id const host(fields->take_text(any_length));
+        host_id const host(fields->take_text(unlimited_length));
         this->incarnations[host] = fields->take_unsigned();
         if (!fields->complete())
         {
-            return damaged();
+            return corrupt_snapshot();
         }
     }
     return absl::OkStatus();
 }
 
-absl::Status once_records::take_spent(std::uint64_t stretches,
-                                      std::span<std::uint8_t const>& input)
+absl::Status
+once_records::decode_spent_keys(std::uint64_t count,
+                                std::span<std::uint8_t const>& input)
 {
-    for (std::uint64_t i = 0; i < stretches; ++i)
+    for (std::uint64_t i = 0; i < count; ++i)
     {
         absl::StatusOr<cbor_fields> fields = cbor_fields::take(input);
         if (!fields.ok())
         {
-            return damaged();
+            return corrupt_snapshot();
         }
-        std::optional<spent_keys::stretch> taken = take_stretch(*fields);
-        if (!taken.has_value() || !this->spent.restore(*std::move(taken)))
+        std::optional<spent_keys::bucket> result = read_bucket(*fields);
+        if (!result.has_value() || !this->spent.restore(*std::move(result)))
         {
-            return damaged();
+            return corrupt_snapshot();
         }
     }
     return absl::OkStatus();
 }
 
-absl::Status once_records::take_given_up(std::uint64_t number,
-                                         std::span<std::uint8_t const>& input)
+absl::Status
+once_records::decode_abandoned(std::uint64_t count,
+                               std::span<std::uint8_t const>& input)
 {
-    duration newest{};
-    for (std::uint64_t i = 0; i < number; ++i)
+    duration last_expires_at{};
+    for (std::uint64_t i = 0; i < count; ++i)
     {
         absl::StatusOr<cbor_fields> fields = cbor_fields::take(input);
         if (!fields.ok())
         {
-            return damaged();
+            return corrupt_snapshot();
         }
-        duration const due(fields->take_signed());
+        duration const expires_at(fields->take_signed());
         work_digest request;
-        bool const has_request = take_digest(*fields, request);
-        if (!has_request || !fields->complete() || due < newest)
+        bool const has_request = read_digest(*fields, request);
+        if (!has_request || !fields->complete() || expires_at < last_expires_at)
         {
-            return damaged();
+            return corrupt_snapshot();
         }
-        newest = due;
-        this->given_up.add(request, due);
+        last_expires_at = expires_at;
+        this->abandoned.add(request, expires_at);
     }
     return absl::OkStatus();
 }
 
-absl::Status once_records::take_records(std::uint64_t number,
-                                        std::span<std::uint8_t const>& input)
+absl::Status once_records::decode_records(std::uint64_t count,
+                                          std::span<std::uint8_t const>& input)
 {
-    for (std::uint64_t i = 0; i < number; ++i)
+    for (std::uint64_t i = 0; i < count; ++i)
     {
-        absl::StatusOr<named_record> taken = take_record(input);
-        if (!taken.ok() || this->records.contains(taken->key))
+        absl::StatusOr<named_record> result = read_record(input);
+        if (!result.ok() || this->records.contains(result->key))
         {
-            return damaged();
+            return corrupt_snapshot();
         }
-        this->insert(taken->key, taken->caller, taken->entry_host,
-                     std::move(taken->record));
+        this->insert(result->key, result->caller, result->entry_host,
+                     std::move(result->record));
     }
     return absl::OkStatus();
 }
@@ -275,22 +278,22 @@
 once_records::decode(once_settings const& bounds,
                      std::span<std::uint8_t const> input)
 {
-    absl::StatusOr<cbor_fields> head = cbor_fields::take(input);
-    if (!head.ok())
+    absl::StatusOr<cbor_fields> header = cbor_fields::take(input);
+    if (!header.ok())
     {
-        return damaged();
+        return corrupt_snapshot();
     }
-    bool const same_version = head->take_unsigned() == snapshot_version;
-    once_settings const built_with = take_bounds(*head);
+    bool const is_same_version = header->take_unsigned() == snapshot_version;
+    once_settings const built_with = read_bounds(*header);
     once_records state(bounds);
-    state.now = duration(head->take_signed());
-    std::uint64_t const hosts = head->take_unsigned();
-    std::uint64_t const stretches = head->take_unsigned();
-    std::uint64_t const given_up = head->take_unsigned();
-    std::uint64_t const number = head->take_unsigned();
-    if (!head->complete() || !same_version)
+    state.now = duration(header->take_signed());
+    std::uint64_t const host_count = header->take_unsigned();
+    std::uint64_t const bucket_count = header->take_unsigned();
+    std::uint64_t const abandoned_count = header->take_unsigned();
+    std::uint64_t const record_count = header->take_unsigned();
+    if (!header->complete() || !is_same_version)
     {
-        return damaged();
+        return corrupt_snapshot();
     }
     if (built_with != bounds)
     {
@@ -299,22 +302,22 @@
                           "run-at-most-once records.",
                           "Run the same version on all control hosts.");
     }
-    absl::Status status = state.take_hosts(hosts, input);
+    absl::Status status = state.decode_hosts(host_count, input);
     if (status.ok())
     {
-        status = state.take_spent(stretches, input);
+        status = state.decode_spent_keys(bucket_count, input);
     }
     if (status.ok())
     {
-        status = state.take_given_up(given_up, input);
+        status = state.decode_abandoned(abandoned_count, input);
     }
     if (status.ok())
     {
-        status = state.take_records(number, input);
+        status = state.decode_records(record_count, input);
     }
     if (status.ok() && !input.empty())
     {
-        status = damaged();
+        status = corrupt_snapshot();
     }
     if (!status.ok())
     {
--- a/bilberrylead/once/spent_keys.cpp
+++ b/bilberrylead/once/spent_keys.cpp
@@ -7,31 +7,32 @@
 {
 
 spent_keys::spent_keys(once_settings const& bounds)
-    : largest(bounds.largest_spent_keys),
-      length(std::max(bounds.spent_retention / stretches, duration(1)))
+    : max_size(bounds.max_spent_keys),
+      bucket_length(
+          std::max(bounds.spent_retention / bucket_count, duration(1)))
 {
 }
 
 bool spent_keys::add(work_digest const& key, duration now)
 {
-    if (this->count >= this->largest)
+    if (this->key_count >= this->max_size)
     {
         return false;
     }
-    this->start_stretch(now / this->length);
-    this->count += this->open.insert(key).second ? 1U : 0U;
+    this->start_bucket(now / this->bucket_length);
+    this->key_count += this->open_bucket.insert(key).second ? 1U : 0U;
     return true;
 }
 
 bool spent_keys::contains(work_digest const& key) const
 {
-    if (this->open.contains(key))
+    if (this->open_bucket.contains(key))
     {
         return true;
     }
-    for (stretch const& each : this->closed)
+    for (bucket const& closed : this->closed_buckets)
     {
-        if (std::binary_search(each.keys.begin(), each.keys.end(), key))
+        if (std::binary_search(closed.keys.begin(), closed.keys.end(), key))
         {
             return true;
         }
@@ -41,55 +42,57 @@
 
 void spent_keys::expire(duration now)
 {
-    std::int64_t const current = now / this->length;
-    this->start_stretch(current);
-    while (!this->closed.empty() &&
-           this->closed.front().number < current - stretches)
+    std::int64_t const current = now / this->bucket_length;
+    this->start_bucket(current);
+    while (!this->closed_buckets.empty() &&
+           this->closed_buckets.front().number < current - bucket_count)
     {
-        this->count -= this->closed.front().keys.size();
-        this->closed.pop_front();
+        this->key_count -= this->closed_buckets.front().keys.size();
+        this->closed_buckets.pop_front();
     }
 }
 
-void spent_keys::start_stretch(std::int64_t number)
+void spent_keys::start_bucket(std::int64_t number)
 {
-    if (number == this->open_number)
+    if (number == this->open_bucket_number)
     {
         return;
     }
-    if (!this->open.empty())
+    if (!this->open_bucket.empty())
     {
-        this->closed.push_back(
-            {this->open_number, {this->open.begin(), this->open.end()}});
-        this->open.clear();
+        this->closed_buckets.push_back(
+            {this->open_bucket_number,
+             {this->open_bucket.begin(), this->open_bucket.end()}});
+        this->open_bucket.clear();
     }
-    this->open_number = number;
+    this->open_bucket_number = number;
 }
 
 std::size_t spent_keys::size() const
 {
-    return this->count;
+    return this->key_count;
 }
 
-std::vector<spent_keys::stretch> spent_keys::all() const
+std::vector<spent_keys::bucket> spent_keys::buckets() const
 {
-    std::vector<stretch> result(this->closed.begin(), this->closed.end());
-    result.push_back(
-        {this->open_number, {this->open.begin(), this->open.end()}});
+    std::vector<bucket> result(this->closed_buckets.begin(),
+                               this->closed_buckets.end());
+    result.push_back({this->open_bucket_number,
+                      {this->open_bucket.begin(), this->open_bucket.end()}});
     return result;
 }
 
-bool spent_keys::restore(stretch taken)
+bool spent_keys::restore(bucket restored)
 {
-    if (taken.number < this->open_number ||
-        !std::is_sorted(taken.keys.begin(), taken.keys.end()))
+    if (restored.number < this->open_bucket_number ||
+        !std::is_sorted(restored.keys.begin(), restored.keys.end()))
     {
         return false;
     }
-    this->start_stretch(taken.number);
-    this->count -= this->open.size();
-    this->open.insert(taken.keys.begin(), taken.keys.end());
-    this->count += this->open.size();
+    this->start_bucket(restored.number);
+    this->key_count -= this->open_bucket.size();
+    this->open_bucket.insert(restored.keys.begin(), restored.keys.end());
+    this->key_count += this->open_bucket.size();
     return true;
 }
 
--- a/bilberrylead/once/spent_keys.hpp
+++ b/bilberrylead/once/spent_keys.hpp
@@ -22,7 +22,7 @@
 {
 public:
     /// Keys that came in the same stretch of time and leave together.
-    struct stretch
+    struct bucket
     {
         /// Which one, counted in stretches since the log began.
         std::int64_t number = 0;
@@ -43,24 +43,24 @@
     std::size_t size() const;
 
     /// All stretches, the oldest first, for a snapshot.
-    std::vector<stretch> all() const;
+    std::vector<bucket> buckets() const;
     /// Adds a stretch of a snapshot; false if it is not after the last one
     /// or not sorted.
-    bool restore(stretch taken);
+    bool restore(bucket restored);
 
 private:
-    void start_stretch(std::int64_t number);
+    void start_bucket(std::int64_t number);
 
     /// Stretches that the retention is made of: keys are held up to an
     /// eighth longer, and a look-up searches nine lists.
-    static constexpr std::int64_t stretches = 8;
+    static constexpr std::int64_t bucket_count = 8;
 
-    std::size_t largest;
-    duration length;
-    std::deque<stretch> closed;
-    std::int64_t open_number = 0;
-    std::set<work_digest> open;
-    std::size_t count = 0;
+    std::size_t max_size;
+    duration bucket_length;
+    std::deque<bucket> closed_buckets;
+    std::int64_t open_bucket_number = 0;
+    std::set<work_digest> open_bucket;
+    std::size_t key_count = 0;
 };
 
 } // namespace bilberrylead::once
--- a/bilberrylead/once/work_digest.cpp
+++ b/bilberrylead/once/work_digest.cpp
@@ -12,20 +12,20 @@
 {
 
 /// Adds a part with its length, so that "ab" + "c" differs from "a" + "bc".
-void add_part(std::string const& part, std::string& whole)
+void add_part(std::string const& part, std::string& input)
 {
     std::uint64_t length = part.size();
     for (std::size_t i = 0; i < sizeof(length); ++i, length >>= 8U)
     {
-        whole.push_back(static_cast<char>(length & 0xFFU));
+        input.push_back(static_cast<char>(length & 0xFFU));
     }
-    whole += part;
+    input += part;
 }
 
-work_digest digest_of(std::string const& whole)
+work_digest digest_of(std::string const& input)
 {
     std::array<std::uint8_t, SHA256_DIGEST_LENGTH> full{};
-    ::SHA256(reinterpret_cast<unsigned char const*>(whole.data()), whole.size(),
+    ::SHA256(reinterpret_cast<unsigned char const*>(input.data()), input.size(),
              full.data());
     work_digest digest;
     std::copy_n(full.begin(), work_digest::size, digest.content.begin());
@@ -36,11 +36,11 @@
 
 work_digest work_digest::of(claim_key const& key)
 {
-    std::string whole;
-    add_part(key.service.text(), whole);
-    add_part(key.caller.text(), whole);
-    add_part(key.idempotency_key, whole);
-    return digest_of(whole);
+    std::string input;
+    add_part(key.service.text(), input);
+    add_part(key.caller.text(), input);
+    add_part(key.idempotency_key, input);
+    return digest_of(input);
 }
 
 work_digest work_digest::of(request_id const& request)
--- a/performance/state_slopes/state_slopes.cpp
+++ b/performance/state_slopes/state_slopes.cpp
@@ -64,10 +64,10 @@
 
 once::once_settings wide_bounds()
 {
-    return {.largest_records = 1'000'000,
-            .largest_records_per_caller = 1'000'000,
-            .largest_spent_keys = 10'000'000,
-            .largest_total_bytes = std::size_t{1} << 30U};
+    return {.max_records = 1'000'000,
+            .max_records_per_caller = 1'000'000,
+            .max_spent_keys = 10'000'000,
+            .max_total_answer_bytes = std::size_t{1} << 30U};
 }
 
 void measure_claims(double reference)
--- a/tests/unit/link/message_test.cpp
+++ b/tests/unit/link/message_test.cpp
@@ -54,7 +54,7 @@
 /// Every kind of message, and every kind of what some of them hold.
 std::vector<link::message> one_of_each()
 {
-    once::claim_refused const refused{once::claim_refusal::given_up,
+    once::claim_refused const refused{once::claim_refusal::abandoned,
                                       std::chrono::seconds(3)};
     once::claim const claim{key, 9, request_id("r"), host_id("e1"), 4};
     return {
--- a/tests/unit/once/once_crash_test.cpp
+++ b/tests/unit/once/once_crash_test.cpp
@@ -41,45 +41,45 @@
 {
     once_records records;
     std::map<std::string, int> runs;
-    int told_not_run = 0;
-    int told_done = 0;
+    int not_run_answers = 0;
+    int completed_answers = 0;
 
     /// Forwards if granted and answers the caller.
-    void carry(claim const& asked)
+    void process_claim(claim const& command)
     {
-        std::string const request = asked.request.text();
-        claim_verdict const verdict = this->records.apply(asked);
+        std::string const request = command.request.text();
+        claim_verdict const verdict = this->records.apply(command);
         if (is<claim_granted>(verdict))
         {
             ++this->runs[request];
             this->records.apply(complete_of("k", request));
-            ++this->told_done;
+            ++this->completed_answers;
         }
         if (is<claim_recorded>(verdict))
         {
-            ++this->told_done;
+            ++this->completed_answers;
         }
         if (is<claim_refused>(verdict))
         {
-            ++this->told_not_run;
+            ++this->not_run_answers;
             cr_assert_eq(this->runs[request], 0);
         }
     }
 
     /// Carries request r1 through e1 up to the crash. Gives the command
     /// that was on its way.
-    std::optional<once_command> carry_until(crash_point point)
+    std::optional<once_command> process_until_crash(crash_point point)
     {
-        claim asked = claim_of("k", "r1");
+        claim command = claim_of("k", "r1");
         if (point == crash_point::before_claim)
         {
             return std::nullopt;
         }
         if (point == crash_point::claim_sent)
         {
-            return asked;
+            return command;
         }
-        cr_assert(is<claim_granted>(this->records.apply(asked)));
+        cr_assert(is<claim_granted>(this->records.apply(command)));
         if (point >= crash_point::forwarded)
         {
             ++this->runs["r1"];
@@ -91,7 +91,7 @@
         if (point == crash_point::caller_answered)
         {
             this->records.apply(complete_of("k", "r1"));
-            ++this->told_done;
+            ++this->completed_answers;
         }
         return std::nullopt;
     }
@@ -99,9 +99,9 @@
     void deliver(once_command const& command)
     {
         std::visit(
-            [this](auto const& each)
+            [this](auto const& alternative)
             {
-                this->records.apply(each);
+                this->records.apply(alternative);
             },
             command);
     }
@@ -117,42 +117,45 @@
     }
 };
 
-void play(crash_point point, late_command late, std::string const& repeat_host)
+void run_case(crash_point point, late_command late,
+              std::string const& repeat_host)
 {
     guarded_path path;
-    std::optional<once_command> const on_its_way = path.carry_until(point);
-    bool const early =
+    std::optional<once_command> const in_flight =
+        path.process_until_crash(point);
+    bool const before_restart =
         late == late_command::before_restart || late == late_command::twice;
-    bool const after =
+    bool const after_restart =
         late == late_command::after_restart || late == late_command::twice;
-    if (on_its_way.has_value() && early)
+    if (in_flight.has_value() && before_restart)
     {
-        path.deliver(*on_its_way);
+        path.deliver(*in_flight);
     }
 
     // The caller repeats through another host at once, then the host comes
     // back, then the caller repeats through either.
-    path.carry(claim_of("k", "r2", "e3"));
+    path.process_claim(claim_of("k", "r2", "e3"));
     path.records.apply(register_entry_host{host_id("e1"), 2});
-    if (on_its_way.has_value() && after)
+    if (in_flight.has_value() && after_restart)
     {
-        path.deliver(*on_its_way);
+        path.deliver(*in_flight);
     }
     std::uint64_t const incarnation = repeat_host == "e1" ? 2 : 1;
-    path.carry(claim_of("k", "r3", repeat_host, incarnation));
-    path.carry(claim_of("k", "r3", repeat_host, incarnation));
-    path.carry(claim_of("k", "r4", "e3"));
+    path.process_claim(claim_of("k", "r3", repeat_host, incarnation));
+    path.process_claim(claim_of("k", "r3", repeat_host, incarnation));
+    path.process_claim(claim_of("k", "r4", "e3"));
 
     cr_expect_leq(path.total_runs(), 1, "crash %d late %d",
                   static_cast<int>(point), static_cast<int>(late));
     // Whenever nobody can have run it, a repeat does; when the answer is
     // recorded, repeats get it.
     bool const may_have_run = point > crash_point::claim_sent;
-    bool const claim_arrived = point == crash_point::claim_sent && early;
+    bool const claim_arrived =
+        point == crash_point::claim_sent && before_restart;
     if (!may_have_run && !claim_arrived)
     {
         cr_expect_eq(path.total_runs(), 1);
-        cr_expect_geq(path.told_done, 1);
+        cr_expect_geq(path.completed_answers, 1);
     }
 }
 
@@ -173,8 +176,8 @@
         {
             for (char const* host : {"e1", "e2"})
             {
-                play(static_cast<crash_point>(point),
-                     static_cast<late_command>(late), host);
+                run_case(static_cast<crash_point>(point),
+                         static_cast<late_command>(late), host);
             }
         }
     }
--- a/tests/unit/once/once_fixture.hpp
+++ b/tests/unit/once/once_fixture.hpp
@@ -64,12 +64,12 @@
 }
 
 /// Lets the log's time go by in steps that count in full.
-inline void pass(once::once_records& records, duration time)
+inline void advance_log_time(once::once_records& records, duration time)
 {
     duration const step = std::chrono::seconds(1);
-    for (duration gone{}; gone < time; gone += step)
+    for (duration elapsed{}; elapsed < time; elapsed += step)
     {
-        records.apply(once::advance_time{std::min(step, time - gone)});
+        records.apply(once::advance_time{std::min(step, time - elapsed)});
     }
 }
 
--- a/tests/unit/once/once_random_test.cpp
+++ b/tests/unit/once/once_random_test.cpp
@@ -26,40 +26,40 @@
 {
     return {.retention = 40s,
             .spent_retention = 64s,
-            .longest_run = 15s,
-            .largest_records = 9,
-            .largest_records_per_caller = 9,
-            .largest_spent_keys = 6,
-            .largest_total_bytes = 60,
-            .largest_recorded_body = 8,
-            .longest_name = 16};
+            .max_run_time = 15s,
+            .max_records = 9,
+            .max_records_per_caller = 9,
+            .max_spent_keys = 6,
+            .max_total_answer_bytes = 60,
+            .max_answer_body_bytes = 8,
+            .max_name_bytes = 16};
 }
 
 once_command random_command(std::mt19937_64& random)
 {
-    std::uint64_t const dice = random() % 16;
+    std::uint64_t const draw = random() % 16;
     std::string const key = std::to_string(random() % 12);
     std::string const request = "r" + std::to_string(random() % 8);
-    if (dice < 6)
+    if (draw < 6)
     {
         return claim_of(key, request, "e" + std::to_string(random() % 3),
                         1 + random() % 4, random() % 8 == 0 ? 8 : 7);
     }
-    if (dice < 9)
+    if (draw < 9)
     {
         complete done = complete_of(key, request);
         done.answer.status = static_cast<std::uint16_t>(200 + random() % 9);
         return done;
     }
-    if (dice < 11)
+    if (draw < 11)
     {
         return release_of(key, request);
     }
-    if (dice < 12)
+    if (draw < 12)
     {
         return unknown_of(key, request);
     }
-    if (dice < 13)
+    if (draw < 13)
     {
         return register_entry_host{host_id("e" + std::to_string(random() % 3)),
                                    1 + random() % 4};
@@ -69,33 +69,33 @@
 
 /// What a caller could hold against the records: who was granted a key and
 /// until when nobody else may be, and which answer was given.
-struct promise_keeper
+struct grant_checker
 {
-    struct promise
+    struct grant_state
     {
         request_id holder;
         duration until{};
         std::optional<recorded_answer> answer;
     };
 
-    std::map<claim_key, promise> promises;
+    std::map<claim_key, grant_state> grants;
     once_settings bounds = tight_bounds();
 
-    void saw(once_records const& records, claim const& asked,
-             claim_verdict const& verdict, unsigned seed)
+    void check(once_records const& records, claim const& command,
+               claim_verdict const& verdict, unsigned seed)
     {
         duration const now = records.log_time();
-        auto const held = this->promises.find(asked.key);
-        bool const binding =
-            held != this->promises.end() && held->second.until > now;
+        auto const found = this->grants.find(command.key);
+        bool const is_valid =
+            found != this->grants.end() && found->second.until > now;
         if (is<claim_granted>(verdict))
         {
-            cr_assert(!binding || held->second.holder == asked.request,
+            cr_assert(!is_valid || found->second.holder == command.request,
                       "seed %u: granted twice", seed);
-            cr_assert(!binding || !held->second.answer.has_value(),
+            cr_assert(!is_valid || !found->second.answer.has_value(),
                       "seed %u: granted after its answer", seed);
             // Shortest time that the record can live from here.
-            this->promises[asked.key] = {asked.request,
+            this->grants[command.key] = {command.request,
                                          now + this->bounds.retention +
                                              this->bounds.spent_retention,
                                          std::nullopt};
@@ -104,40 +104,41 @@
             std::get_if<claim_recorded>(&verdict);
         if (recorded != nullptr)
         {
-            cr_assert(held != this->promises.end(), "seed %u", seed);
-            cr_assert(!held->second.answer.has_value() ||
-                          *held->second.answer == recorded->answer,
+            cr_assert(found != this->grants.end(), "seed %u", seed);
+            cr_assert(!found->second.answer.has_value() ||
+                          *found->second.answer == recorded->answer,
                       "seed %u: the answer changed", seed);
-            held->second.answer = recorded->answer;
+            found->second.answer = recorded->answer;
         }
     }
 
-    void saw(release const& command, settle_result result)
+    void check(release const& command, settle_result result)
     {
         if (result == settle_result::done)
         {
-            this->promises.erase(command.key);
+            this->grants.erase(command.key);
         }
     }
 };
 
-void apply_watched(once_records& records, once_command const& command,
-                   promise_keeper& keeper, unsigned seed)
+void apply_checked(once_records& records, once_command const& command,
+                   grant_checker& checker, unsigned seed)
 {
-    if (claim const* asked = std::get_if<claim>(&command))
+    if (claim const* claim_command = std::get_if<claim>(&command))
     {
-        keeper.saw(records, *asked, records.apply(*asked), seed);
+        checker.check(records, *claim_command, records.apply(*claim_command),
+                      seed);
         return;
     }
-    if (release const* given_back = std::get_if<release>(&command))
+    if (release const* release_command = std::get_if<release>(&command))
     {
-        keeper.saw(*given_back, records.apply(*given_back));
+        checker.check(*release_command, records.apply(*release_command));
         return;
     }
     std::visit(
-        [&records](auto const& each)
+        [&records](auto const& alternative)
         {
-            records.apply(each);
+            records.apply(alternative);
         },
         command);
 }
@@ -149,29 +150,28 @@
 // Whatever comes: a key is granted to one request until it is released or
 // expires, its answer never changes, and a replica that restarts from a
 // snapshot in the middle ends up equal byte by byte.
-Test(once_records, random_commands_keep_every_promise_on_every_replica)
+Test(once_records, random_commands_keep_every_guarantee_on_every_replica)
 {
     for (unsigned seed = 1; seed <= seeds; ++seed)
     {
         std::mt19937_64 random(seed);
         once_records records(tight_bounds());
         once_records replica(tight_bounds());
-        promise_keeper keeper;
+        grant_checker checker;
         for (int step = 0; step < commands_per_seed; ++step)
         {
             once_command const command = random_command(random);
-            apply_watched(records, command, keeper, seed);
+            apply_checked(records, command, checker, seed);
             std::visit(
-                [&replica](auto const& each)
+                [&replica](auto const& alternative)
                 {
-                    replica.apply(each);
+                    replica.apply(alternative);
                 },
                 command);
-            cr_assert_leq(records.size(), tight_bounds().largest_records);
-            cr_assert_leq(records.spent_size(),
-                          tight_bounds().largest_spent_keys);
-            cr_assert_leq(records.held_bytes(),
-                          tight_bounds().largest_total_bytes);
+            cr_assert_leq(records.size(), tight_bounds().max_records);
+            cr_assert_leq(records.spent_size(), tight_bounds().max_spent_keys);
+            cr_assert_leq(records.answer_bytes(),
+                          tight_bounds().max_total_answer_bytes);
             if (step % 50 == 49)
             {
                 absl::StatusOr<once_records> restored =
@@ -190,16 +190,16 @@
     records.apply(claim_of("k", "r1"));
     records.apply(complete_of("k", "r1"));
     records.apply(register_entry_host{host_id("e1"), 3});
-    pass(records, 41s);
+    advance_log_time(records, 41s);
     records.apply(claim_of("q", "r1", "e2"));
     cr_assert_eq(records.spent_size(), 1);
-    bytes const whole = records.encode();
-    for (std::size_t size = 0; size < whole.size(); ++size)
+    bytes const snapshot = records.encode();
+    for (std::size_t size = 0; size < snapshot.size(); ++size)
     {
-        bytes const cut(whole.begin(),
-                        whole.begin() + static_cast<std::ptrdiff_t>(size));
+        bytes const cut(snapshot.begin(),
+                        snapshot.begin() + static_cast<std::ptrdiff_t>(size));
         cr_assert_not(once_records::decode(tight_bounds(), cut).ok());
     }
-    cr_assert_not(once_records::decode(once_settings(), whole).ok());
-    cr_assert(once_records::decode(tight_bounds(), whole).ok());
+    cr_assert_not(once_records::decode(once_settings(), snapshot).ok());
+    cr_assert(once_records::decode(tight_bounds(), snapshot).ok());
 }
--- a/tests/unit/once/once_records_test.cpp
+++ b/tests/unit/once/once_records_test.cpp
@@ -24,7 +24,7 @@
     recorded,
     unknown,
     mismatch,
-    given_up,
+    abandoned,
     superseded,
 };
 
@@ -50,17 +50,17 @@
     {
         return expected::mismatch;
     }
-    return is_refused(verdict, claim_refusal::given_up) ? expected::given_up
-                                                        : expected::superseded;
+    return is_refused(verdict, claim_refusal::abandoned) ? expected::abandoned
+                                                         : expected::superseded;
 }
 
-using script = std::vector<once_command>;
+using command_history = std::vector<once_command>;
 
 struct verdict_row
 {
     char const* name;
-    script before;
-    claim asked;
+    command_history history;
+    claim command;
     expected verdict;
 };
 
@@ -68,13 +68,13 @@
 {
     return once_records({.retention = 100s,
                          .spent_retention = 800s,
-                         .longest_run = 20s,
-                         .largest_records = 4,
-                         .largest_records_per_caller = 3,
-                         .largest_spent_keys = 5,
-                         .largest_total_bytes = 100,
-                         .largest_recorded_body = 64,
-                         .longest_name = 32});
+                         .max_run_time = 20s,
+                         .max_records = 4,
+                         .max_records_per_caller = 3,
+                         .max_spent_keys = 5,
+                         .max_total_answer_bytes = 100,
+                         .max_answer_body_bytes = 64,
+                         .max_name_bytes = 32});
 }
 
 } // namespace
@@ -123,11 +123,11 @@
         {"late claim after its release",
          {claim_of("k", "r1"), release_of("k", "r1")},
          claim_of("k", "r1"),
-         expected::given_up},
+         expected::abandoned},
         {"release overtook claim",
          {release_of("k", "r1")},
          claim_of("k", "r1"),
-         expected::given_up},
+         expected::abandoned},
         {"other request after that",
          {release_of("k", "r1")},
          claim_of("k", "r2"),
@@ -136,11 +136,11 @@
          {claim_of("k", "r1"), release_of("k", "r1"), claim_of("k", "r2"),
           release_of("k", "r2")},
          claim_of("k", "r1"),
-         expected::given_up},
+         expected::abandoned},
         {"release overtook claim while another held the key",
          {claim_of("k", "r2"), release_of("k", "r1"), release_of("k", "r2")},
          claim_of("k", "r1"),
-         expected::given_up},
+         expected::abandoned},
         {"stranger's release",
          {claim_of("k", "r1"), release_of("k", "r2")},
          claim_of("k", "r3"),
@@ -185,16 +185,16 @@
     for (verdict_row const& row : rows)
     {
         once_records records;
-        for (once_command const& command : row.before)
+        for (once_command const& command : row.history)
         {
             std::visit(
-                [&records](auto const& each)
+                [&records](auto const& alternative)
                 {
-                    records.apply(each);
+                    records.apply(alternative);
                 },
                 command);
         }
-        cr_expect(kind_of_verdict(records.apply(row.asked)) == row.verdict,
+        cr_expect(kind_of_verdict(records.apply(row.command)) == row.verdict,
                   "%s", row.name);
     }
 }
@@ -256,9 +256,9 @@
     cr_assert_eq(records.size(), 4);
 
     // 20 s turn the open ones unknown, another 100 s make them spent keys.
-    pass(records, 119s);
+    advance_log_time(records, 119s);
     cr_assert(is_refused(records.apply(fifth), claim_refusal::no_room));
-    pass(records, 1s);
+    advance_log_time(records, 1s);
     cr_assert(is<claim_granted>(records.apply(fifth)));
     claim first = claim_of("k0", "r2");
     first.key.caller = caller_id("c0");
@@ -282,35 +282,36 @@
 Test(once_records, names_when_too_long_are_refused)
 {
     once_records records = small_records();
-    std::string const longest(32, 'x');
-    cr_assert(is<claim_granted>(records.apply(claim_of(longest, longest))));
-    cr_assert(is_refused(records.apply(claim_of(longest + "x", "r")),
+    std::string const max_length_name(32, 'x');
+    cr_assert(is<claim_granted>(
+        records.apply(claim_of(max_length_name, max_length_name))));
+    cr_assert(is_refused(records.apply(claim_of(max_length_name + "x", "r")),
                          claim_refusal::key_too_long));
-    cr_assert(is_refused(records.apply(claim_of("k", longest + "x")),
+    cr_assert(is_refused(records.apply(claim_of("k", max_length_name + "x")),
                          claim_refusal::key_too_long));
 }
 
 // The room for answers is used up. Work still runs; its answer is kept
 // without the body, and the room comes back as answers are forgotten.
-Test(once_records, bytes_when_used_up_drop_bodies_and_come_back)
+Test(once_records, answer_bytes_when_used_up_drop_bodies_until_expiry)
 {
     once_records records = small_records();
     complete done = complete_of("a", "r");
     done.answer = answer_of(std::string(60, 'x'));
     records.apply(claim_of("a", "r"));
     records.apply(done);
-    cr_assert_eq(records.held_bytes(), 70);
+    cr_assert_eq(records.answer_bytes(), 70);
 
     done.key = key_of("b");
     records.apply(claim_of("b", "r"));
     records.apply(done);
     claim_verdict const repeat = records.apply(claim_of("b", "r2"));
     cr_assert(std::get<claim_recorded>(repeat).answer.body_dropped);
-    cr_assert_eq(records.held_bytes(), 70);
+    cr_assert_eq(records.answer_bytes(), 70);
 
-    pass(records, 100s);
+    advance_log_time(records, 100s);
     cr_assert_eq(records.size(), 0);
-    cr_assert_eq(records.held_bytes(), 0);
+    cr_assert_eq(records.answer_bytes(), 0);
 }
 
 // A caller repeats a posting hours later, when its answer is no longer
@@ -326,10 +327,10 @@
     records.apply(complete_of("done", "r"));
     records.apply(unknown_of("unknown", "r"));
     records.apply(release_of("released", "r"));
-    pass(records, 101s);
+    advance_log_time(records, 101s);
     cr_assert_eq(records.size(), 0);
     cr_assert_eq(records.spent_size(), 2);
-    pass(records, 798s);
+    advance_log_time(records, 798s);
     for (char const* key : {"done", "unknown"})
     {
         cr_assert(
@@ -338,7 +339,7 @@
                   settle_result::no_record);
     }
     // Spent keys leave in eighths of their retention.
-    pass(records, 201s);
+    advance_log_time(records, 201s);
     cr_assert_eq(records.spent_size(), 0);
     cr_assert(is<claim_granted>(records.apply(claim_of("done", "r3"))));
 }
@@ -353,7 +354,7 @@
     {
         cr_assert(is<claim_granted>(records.apply(claim_of(key, "r"))));
         records.apply(complete_of(key, "r"));
-        pass(records, 101s);
+        advance_log_time(records, 101s);
     }
     cr_assert_eq(records.spent_size(), 5);
     cr_assert_eq(records.size(), 2);
@@ -361,20 +362,20 @@
     {
         cr_assert_not(is<claim_granted>(records.apply(claim_of(key, "r2"))));
     }
-    pass(records, 1'000s);
+    advance_log_time(records, 1'000s);
     cr_assert_eq(records.size(), 0);
     cr_assert_eq(records.spent_size(), 2);
 }
 
 // A holder vanishes without a trace and its host never comes back. Its
 // claim must not stay "in progress" for good, and never runs again either.
-Test(once_records, open_claim_when_over_the_longest_run_is_unknown)
+Test(once_records, open_claim_when_over_the_maximum_run_time_is_unknown)
 {
     once_records records = small_records();
     records.apply(claim_of("k", "r1"));
-    pass(records, 19s);
+    advance_log_time(records, 19s);
     cr_assert(is<claim_in_progress>(records.apply(claim_of("k", "r2"))));
-    pass(records, 1s);
+    advance_log_time(records, 1s);
     cr_assert(is<claim_outcome_unknown>(records.apply(claim_of("k", "r2"))));
 }
 
@@ -410,14 +411,14 @@
 Test(once_records, late_claim_whose_release_found_no_room_is_refused)
 {
     once_settings bounds;
-    bounds.largest_records = 1;
+    bounds.max_records = 1;
     once_records records(bounds);
     records.apply(claim_of("held", "first"));
     records.apply(release_of("held", "first"));
-    pass(records, std::chrono::seconds(5));
+    advance_log_time(records, std::chrono::seconds(5));
     records.apply(release_of("wanted", "late"));
-    pass(records, bounds.longest_run - std::chrono::seconds(3));
+    advance_log_time(records, bounds.max_run_time - std::chrono::seconds(3));
     cr_assert_eq(records.size(), 0U);
     cr_assert(is_refused(records.apply(claim_of("wanted", "late")),
-                         claim_refusal::given_up));
+                         claim_refusal::abandoned));
 }
