--- a/bilberrylead/once/abandoned_requests.hpp
+++ b/bilberrylead/once/abandoned_requests.hpp
@@ -12,38 +12,38 @@
 {
 
 /// Requests that will not run their work: they released their claim, or were
-/// told that it is another's. A copy of such a claim
-/// may still be on its way; granted, nobody would run the work, and every
-/// repeat would wait for a run that never comes. One mark a key is not
-/// enough: several requests may give up the same key one after another.
-/// Bounded; the oldest mark goes first. Used by one thread.
+/// answered that another request holds it. A copy of such a claim may still
+/// be in flight. If it were granted, no request would run the work, and every
+/// repeat would wait for a run that never starts. One entry per key is not
+/// enough, because several requests may abandon the same key in succession.
+/// Bounded; the oldest entry is dropped first. Used by one thread.
 class abandoned_requests
 {
 public:
-    /// A request and when its mark goes, in time of the log.
+    /// An abandoned request and its time of expiry.
     struct entry
     {
-        /// When it goes.
+        /// Log time at which the entry expires.
         duration expires_at{};
         /// The request.
         work_digest request;
     };
 
-    /// Marks kept at most: longer than a claim's message is on its way at
-    /// 80 releases a second, and 6 MB.
+    /// Maximum number of entries, about 6 MB. At 80 releases per second an
+    /// entry is kept longer than a claim can be in flight.
     static constexpr std::size_t max_size = 50'000;
 
-    /// Marks a request; marking it again changes nothing. `due` never goes
-    /// back from call to call.
+    /// Adds a request; no effect if it is already contained. `expires_at`
+    /// must not be earlier than in the previous call.
     void add(work_digest const& request, duration expires_at);
 
-    /// True while the request is marked.
+    /// True if the request was added and has not expired.
     bool contains(work_digest const& request) const;
 
-    /// Drops the marks that are due.
+    /// Drops the entries whose time of expiry has come, `now` in log time.
     void expire(duration now);
 
-    /// All marks, oldest first, for the snapshot.
+    /// All entries, oldest first, for the snapshot.
     std::deque<entry> const& all() const;
 
 private:
--- a/bilberrylead/once/claim_key.hpp
+++ b/bilberrylead/once/claim_key.hpp
@@ -9,13 +9,13 @@
 namespace bilberrylead::once
 {
 
-/// Names one piece of work that may run at most once. Scoped to caller and
-/// service, so that two callers who pick the same key do not meet.
+/// Identifies one piece of work that may run at most once. Scoped to caller
+/// and service, so that equal keys of two callers do not collide.
 struct claim_key
 {
-    /// The service that would run it.
+    /// The service that runs the work.
     service_id service;
-    /// Who asks for it.
+    /// The caller that requests the work.
     caller_id caller;
     /// The caller's Idempotency-Key, as sent.
     std::string idempotency_key;
--- a/bilberrylead/once/claim_record.hpp
+++ b/bilberrylead/once/claim_record.hpp
@@ -13,40 +13,41 @@
 namespace bilberrylead::once
 {
 
-/// How far the work of a record is.
+/// State of the work of a record.
 enum class claim_state : std::uint8_t
 {
-    /// A request holds it and may be running.
+    /// A request holds the claim; the work may be running.
     open,
-    /// It ran; the answer is kept.
+    /// The work ran; its answer is kept.
     recorded,
-    /// It may have run.
+    /// The work may have run; its answer is lost.
     unknown,
-    /// It was given back unrun. The record stays for a while: the claim of
-    /// the request that gave up may still be on its way and must find that.
+    /// The claim was released and the work did not run. The record is kept
+    /// for once_settings::max_run_time, so that a late claim of the request
+    /// that abandoned the work still finds it and is refused.
     released,
 };
 
-/// What is known of one piece of work. Names that many records share are
-/// pointers into the lists of once_records.
+/// The record of one piece of work. Names that many records share are
+/// pointers into the maps of once_records.
 struct claim_record
 {
-    /// How far it is.
+    /// State of the work.
     claim_state state = claim_state::open;
-    /// Digest of the body it was claimed with.
+    /// Digest of the request body that the work was claimed with.
     std::uint64_t body_digest = 0;
-    /// The request that holds or held it.
+    /// The request that holds or held the claim.
     work_digest request;
     /// The entry host of that request; never nullptr.
     host_id const* entry_host = nullptr;
     /// That entry host's incarnation.
     std::uint64_t incarnation = 0;
-    /// Who asked for it, with the number of records held; never nullptr.
+    /// The caller and the number of records that it holds; never nullptr.
     std::pair<caller_id const, std::size_t>* caller = nullptr;
-    /// When the record changes by itself, in time of the log: open becomes
-    /// unknown, recorded and unknown become a spent key, released goes.
+    /// Log time at which the record changes without a command: open becomes
+    /// unknown, recorded and unknown become a spent key, released is erased.
     duration expires_at{};
-    /// The answer, in state recorded.
+    /// The answer; set in state recorded.
     recorded_answer answer;
 };
 
--- a/bilberrylead/once/claim_verdict.hpp
+++ b/bilberrylead/once/claim_verdict.hpp
@@ -9,7 +9,7 @@
 namespace bilberrylead::once
 {
 
-/// The claim is this request's: forward it, once.
+/// The request holds the claim and may be forwarded once.
 struct claim_granted
 {
 };
@@ -19,19 +19,19 @@
 {
 };
 
-/// The work ran; this is what it answered.
+/// The work ran and its answer is kept.
 struct claim_recorded
 {
-    /// The first run's answer.
+    /// The answer of that run.
     recorded_answer answer;
 };
 
-/// The work may have run, and nobody can say what it answered.
+/// The work may have run; its answer is not available.
 struct claim_outcome_unknown
 {
 };
 
-/// The key was used before with another body.
+/// The key was used before with a different body.
 struct claim_mismatch
 {
 };
@@ -39,30 +39,31 @@
 /// Why a claim was refused.
 enum class claim_refusal
 {
-    /// No quorum could be asked in time.
+    /// No quorum of the control hosts decided the claim in time.
     no_quorum,
-    /// There is no room for another record.
+    /// The maximum number of records, hosts or open claims is reached.
     no_room,
-    /// The caller holds its share of the records.
+    /// The caller holds the maximum number of records per caller.
     caller_share,
-    /// The entry host has registered a newer incarnation since.
+    /// The entry host has registered a newer incarnation.
     superseded_host,
-    /// The key or a name is longer than is kept.
+    /// The key or a name is longer than once_settings::max_name_bytes.
     key_too_long,
-    /// This same request released its claim before: it was given up.
+    /// The same request has abandoned the work: it released its claim, or was
+    /// answered that another request holds it.
     abandoned,
 };
 
-/// Nothing was claimed, nothing runs.
+/// The claim is refused; the work must not run.
 struct claim_refused
 {
-    /// Why.
+    /// The reason.
     claim_refusal reason = claim_refusal::no_quorum;
-    /// When room may be there again, 0 if nobody knows.
+    /// Time until capacity may be free again; 0 if unknown.
     duration retry_after{};
 };
 
-/// What a control host says to a claim.
+/// A control host's reply to a claim.
 using claim_verdict =
     std::variant<claim_granted, claim_in_progress, claim_recorded,
                  claim_outcome_unknown, claim_mismatch, claim_refused>;
--- a/bilberrylead/once/once_command.hpp
+++ b/bilberrylead/once/once_command.hpp
@@ -12,18 +12,19 @@
 namespace bilberrylead::once
 {
 
-/// Asks for the right to run a piece of work. Sent again with the same
-/// request when its answer was lost; the request is forwarded once at most,
-/// whatever number of times it is granted.
+/// Requests the right to run a piece of work. Resent with the same request
+/// id when the reply was lost; the request is forwarded at most once, however
+/// often the claim is granted.
 struct claim
 {
-    /// The work.
+    /// The key of the work.
     claim_key key;
-    /// Digest of the request's body: a key with another body is refused.
+    /// Digest of the request body; a reused key with a different body is
+    /// refused.
     std::uint64_t body_digest = 0;
-    /// The request that would run it; never used again by another.
+    /// The request that would run the work; its id is never reused.
     request_id request;
-    /// The entry host that would forward it.
+    /// The entry host that would forward the request.
     host_id entry_host;
     /// That entry host's incarnation, as it registered.
     std::uint64_t incarnation = 0;
@@ -31,35 +32,35 @@
     friend bool operator==(claim const&, claim const&) = default;
 };
 
-/// The holder has the whole answer.
+/// The holder has received the complete answer.
 struct complete
 {
-    /// The work.
+    /// The key of the work.
     claim_key key;
     /// The request that holds the claim.
     request_id request;
-    /// What the upstream answered.
+    /// The upstream's answer.
     recorded_answer answer;
 
     friend bool operator==(complete const&, complete const&) = default;
 };
 
-/// The holder says that no byte reached an upstream and none will; another
-/// request may claim the work.
+/// The holder reports that no byte has reached an upstream and none will;
+/// another request may claim the work.
 struct release
 {
-    /// The work.
+    /// The key of the work.
     claim_key key;
-    /// The request that holds the claim, or gave up waiting for it.
+    /// The request that holds the claim or has abandoned it.
     request_id request;
 
     friend bool operator==(release const&, release const&) = default;
 };
 
-/// The holder forwarded the request and cannot learn its answer.
+/// The holder forwarded the request and cannot obtain its answer.
 struct mark_unknown
 {
-    /// The work.
+    /// The key of the work.
     claim_key key;
     /// The request that holds the claim.
     request_id request;
@@ -67,32 +68,32 @@
     friend bool operator==(mark_unknown const&, mark_unknown const&) = default;
 };
 
-/// A process of an entry host started, or the platform says that it is
-/// gone: what earlier incarnations hold open may have run, and nobody will
-/// say so.
+/// A process of an entry host has started, or the platform reports that it
+/// has ended. Work whose claims previous incarnations hold open may have run,
+/// and its outcome will not be reported.
 struct register_entry_host
 {
     /// The entry host.
     host_id entry_host;
-    /// The incarnation that is valid from now on; must grow.
+    /// The incarnation that becomes valid; must be larger than the last one.
     std::uint64_t incarnation = 0;
 
     friend bool operator==(register_entry_host const&,
                            register_entry_host const&) = default;
 };
 
-/// Time that the leader measured on its monotonic clock since its last
-/// such command. Time in which nobody led is missing, so that records live
-/// longer, never shorter.
+/// Advances the log time by the time that the leader measured on its
+/// monotonic clock since its previous command of this kind. Time without a
+/// leader is not counted, so that records live longer, never shorter.
 struct advance_time
 {
-    /// Time that went by; at most once_settings::largest_time_step counts.
+    /// Elapsed time; only up to once_settings::max_time_step is counted.
     duration elapsed{};
 
     friend bool operator==(advance_time const&, advance_time const&) = default;
 };
 
-/// Everything that changes the run-at-most-once records.
+/// The commands that change the run-at-most-once records.
 using once_command = std::variant<claim, complete, release, mark_unknown,
                                   register_entry_host, advance_time>;
 
--- a/bilberrylead/once/once_records.cpp
+++ b/bilberrylead/once/once_records.cpp
@@ -28,8 +28,8 @@
 
 claim_verdict once_records::apply(claim const& command)
 {
-    // A process that was replaced gets no claim: whoever registered in its
-    // place may already have told the caller how the request ended.
+    // A superseded process gets no claim: its successor may already have
+    // reported the outcome of the request to the caller.
     if (this->is_superseded(command.entry_host, command.incarnation))
     {
         return this->refuse(claim_refusal::superseded_host);
@@ -40,7 +40,8 @@
     {
         return this->decide_existing(*found, command);
     }
-    // Its answer is gone, but it ran or may have: never again.
+    // The work ran or may have run, and its answer is no longer kept. It must
+    // not run again.
     if (this->spent.contains(key))
     {
         return claim_outcome_unknown{};
@@ -77,9 +78,10 @@
     bool const same_request =
         record.request == work_digest::of(command.request);
 
-    // Given back unrun: the next request may have it, but not the one that
-    // gave up. Its claim may have been overtaken by its release; granted
-    // now, nobody would run it and all repeats would wait.
+    // The work was released without a run. Another request may claim it, but
+    // not a request that abandoned it: its release may have overtaken its
+    // claim. If that claim were granted now, no request would run the work and
+    // all repeats would wait.
     if (record.state == claim_state::released)
     {
         if (same_request ||
@@ -97,14 +99,14 @@
     switch (record.state)
     {
     case claim_state::open:
-        // The same request asks again because the verdict was lost.
+        // The same request resends its claim because the verdict was lost.
         if (same_request && record.incarnation == command.incarnation &&
             *record.entry_host == command.entry_host)
         {
             return claim_granted{};
         }
-        // Its caller is told to ask again, with a new request. A late copy
-        // of this claim must not be granted once the holder gave up.
+        // The caller is told to repeat with a new request. A late copy of this
+        // claim must not be granted after the holder has released the work.
         this->abandon(work_digest::of(command.request));
         return claim_in_progress{};
     case claim_state::recorded:
@@ -128,8 +130,8 @@
     {
         return settle_result::not_holder;
     }
-    // The first answer stays: callers may have seen it. An unknown outcome
-    // becomes known when its holder turns out to be alive.
+    // The first answer is kept, because callers may have received it. An
+    // unknown outcome is replaced by the answer if its holder still reports it.
     if (record.state == claim_state::recorded ||
         record.state == claim_state::released)
     {
@@ -154,8 +156,8 @@
     }
     if (found == this->records.end())
     {
-        // The release overtook its claim. The mark it leaves lives as long
-        // as a claim can be on its way.
+        // The release overtook its claim. The released record that it leaves
+        // lives as long as a claim can be in flight.
         claim const overtaken_claim{command.key, 0, command.request, host_id(),
                                     0};
         if (this->spent.contains(work_digest::of(command.key)) ||
@@ -219,8 +221,8 @@
     }
     this->incarnations[command.entry_host] = command.incarnation;
 
-    // The earlier process is gone, or must count as gone. Its open claims
-    // may have run; only "unknown" is true of them.
+    // The previous process has ended or must be treated as ended. The work of
+    // its open claims may have run, so its outcome is unknown.
     registration result{true, command.incarnation, 0};
     for (record_map::value_type& entry : this->records)
     {
@@ -267,9 +269,9 @@
         this->set_state(*found, claim_state::unknown, this->settings.retention);
         return;
     }
-    // A key that must not run again moves on to the spent ones. Without
-    // room there the record stays: new claims are refused sooner than an
-    // old one is forgotten.
+    // A key whose work must not run again becomes a spent key. If the spent
+    // keys are full, the record is kept: refusing new claims is safer than
+    // dropping a key whose work could then run again.
     if (state != claim_state::released &&
         !this->spent.add(found->first, this->now))
     {
@@ -323,7 +325,7 @@
 void once_records::insert(work_digest const& key, caller_id const& caller,
                           host_id const& host, claim_record record)
 {
-    // A host that claims before it registered is known from now on.
+    // Registers a host that claims before it has registered itself.
     record.entry_host =
         &this->incarnations.emplace(host, record.incarnation).first->first;
     record.caller = &*this->record_count_by_caller.emplace(caller, 0).first;
--- a/bilberrylead/once/once_records.hpp
+++ b/bilberrylead/once/once_records.hpp
@@ -30,14 +30,14 @@
 namespace bilberrylead::once
 {
 
-/// Who may run what, and what it answered: the state machine behind "runs
-/// at most once". Every replica applies the same commands in the order of
-/// the log and reaches the same state; no clock, no randomness.
+/// The replicated state machine that grants each piece of work to at most
+/// one request and keeps its answer. Every replica applies the same commands
+/// in log order and reaches the same state; uses no clock and no randomness.
 /// Used by one thread.
 class once_records
 {
 public:
-    /// Makes empty records with these bounds.
+    /// Starts empty with the given bounds.
     explicit once_records(once_settings const& bounds = {});
 
     once_records(once_records&&) = default;
@@ -46,44 +46,48 @@
     once_records& operator=(once_records const&) = delete;
     ~once_records() = default;
 
-    /// Says whether the request may be forwarded.
+    /// Decides whether the request may be forwarded.
     claim_verdict apply(claim const& command);
     /// Records the holder's answer.
     settle_result apply(complete const& command);
-    /// Gives the claim back, unrun.
+    /// Releases the claim of work that did not run.
     settle_result apply(release const& command);
-    /// Notes that nobody will learn the answer.
+    /// Records that the outcome of the work is unknown.
     settle_result apply(mark_unknown const& command);
-    /// Makes an incarnation the valid one of its entry host.
+    /// Makes an incarnation the valid one of its entry host; open claims of
+    /// its previous incarnations become unknown.
     registration apply(register_entry_host const& command);
-    /// Moves the log's time and lets records fall due. Returns the time.
+    /// Advances the log time and expires records. Returns the log time.
     duration apply(advance_time const& command);
 
-    /// What a claim would find, or nothing if there is no record.
+    /// State of the work of this key; unknown for a spent key, nullopt if the
+    /// key is neither recorded nor spent.
     std::optional<claim_state> state_of(claim_key const& key) const;
-    /// Records held, 0 to once_settings::largest_records.
+    /// Number of records, 0 to once_settings::max_records.
     std::size_t size() const;
-    /// Keys held whose answer is gone, 0 to
-    /// once_settings::largest_spent_keys.
+    /// Number of keys whose answer is no longer kept, 0 to
+    /// once_settings::max_spent_keys.
     std::size_t spent_size() const;
-    /// Bytes of answers held.
+    /// Size of the recorded answers in bytes, 0 to
+    /// once_settings::max_total_answer_bytes.
     std::size_t answer_bytes() const;
-    /// Time of the log: sum of all advance_time commands.
+    /// Log time: the counted sum of all advance_time commands.
     duration log_time() const;
 
-    /// The whole state as bytes; equal states give equal bytes.
+    /// Serializes the complete state; equal states give equal bytes.
     bytes encode() const;
-    /// The state that encode() gave. Fails on other bytes, and on a state
-    /// that was built with other bounds.
+    /// Restores a state from the output of encode(). Fails with `corrupt` if
+    /// the bytes are not a valid snapshot, and with `bad_value` if the
+    /// snapshot was built with other bounds.
     static absl::StatusOr<once_records>
     decode(once_settings const& bounds, std::span<std::uint8_t const> input);
 
 private:
     using record_map = std::map<work_digest, claim_record>;
     using expiry_entry = std::pair<duration, work_digest const*>;
-    /// Records that fall due at once do so in the order of their keys. By
-    /// where they lie in memory, replicas would differ in which one finds
-    /// the last room among the spent keys.
+    /// Orders records that expire at the same time by their keys. Ordered by
+    /// memory address, replicas would differ in which record takes the last
+    /// free place among the spent keys.
     struct expires_before
     {
         bool operator()(expiry_entry const& left,
@@ -93,7 +97,7 @@
                                              : *left.second < *right.second;
         }
     };
-    /// Nodes stay where they are, so that records can point to them.
+    /// Has stable node addresses, because records point to its nodes.
     using caller_map = std::unordered_map<caller_id, std::size_t>;
     using host_map = std::map<host_id, std::uint64_t>;
 
--- a/bilberrylead/once/once_snapshot.cpp
+++ b/bilberrylead/once/once_snapshot.cpp
@@ -1,5 +1,5 @@
-// The snapshot of the run-at-most-once records: a sequence of CBOR arrays,
-// so that neither side ever holds a tree of the whole state.
+// The snapshot of the run-at-most-once records is a sequence of CBOR arrays,
+// so that neither encoder nor decoder builds a tree of the complete state.
 #include "bilberrylead/core/cbor.hpp"
 #include "bilberrylead/core/cbor_fields.hpp"
 #include "bilberrylead/core/error.hpp"
@@ -56,7 +56,7 @@
     return bytes(digest.content.begin(), digest.content.end());
 }
 
-/// Reads a digest; false if the field isn't one.
+/// Reads a digest; returns false if the field has another size.
 bool read_digest(cbor_fields& fields, work_digest& digest)
 {
     bytes const content = fields.take_bytes();
@@ -112,7 +112,7 @@
     return result;
 }
 
-/// A record with the names that it points to.
+/// A record with the key and names that once_records::insert() needs.
 struct named_record
 {
     work_digest key;
@@ -124,8 +124,8 @@
 absl::Status corrupt_snapshot()
 {
     return make_error(error_kind::corrupt,
-                      "The snapshot of the run-at-most-once records is not "
-                      "readable.",
+                      "The snapshot of the run-at-most-once records is "
+                      "corrupt.",
                       "Let this host rejoin with an empty data folder.");
 }
 
--- a/bilberrylead/once/recorded_answer.hpp
+++ b/bilberrylead/once/recorded_answer.hpp
@@ -9,7 +9,7 @@
 namespace bilberrylead::once
 {
 
-/// An upstream's answer, kept so that a repeat of the request gets it
+/// An upstream's answer, recorded so that a repeat of the request receives it
 /// without a second run.
 struct recorded_answer
 {
@@ -17,9 +17,10 @@
     std::uint16_t status = 0;
     /// Content-Type of the body, empty if the upstream sent none.
     std::string content_type;
-    /// The body; at most `once_settings::largest_recorded_body` bytes.
+    /// The body; at most `once_settings::max_answer_body_bytes` bytes.
     bytes body;
-    /// True if the body was larger than that, and only its status is kept.
+    /// True if only the status is recorded: the answer was larger than the
+    /// limits, or the total size of the recorded answers was reached.
     bool body_dropped = false;
 
     friend bool operator==(recorded_answer const&,
--- a/bilberrylead/once/registration.hpp
+++ b/bilberrylead/once/registration.hpp
@@ -7,14 +7,14 @@
 namespace bilberrylead::once
 {
 
-/// What became of a register_entry_host.
+/// Result of register_entry_host.
 struct registration
 {
-    /// True if the incarnation asked for is the valid one.
+    /// True if the requested incarnation is the valid one.
     bool accepted = false;
-    /// The valid incarnation; a host that was refused takes a larger one.
+    /// The valid incarnation; a host that was refused must use a larger one.
     std::uint64_t incarnation = 0;
-    /// Claims of earlier incarnations whose outcome is unknown since.
+    /// Number of open claims of previous incarnations that became unknown.
     std::size_t outcomes_unknown = 0;
 
     friend bool operator==(registration const&, registration const&) = default;
--- a/bilberrylead/once/settle_result.hpp
+++ b/bilberrylead/once/settle_result.hpp
@@ -4,16 +4,16 @@
 namespace bilberrylead::once
 {
 
-/// What became of a complete, release or mark_unknown.
+/// Result of complete, release or mark_unknown.
 enum class settle_result
 {
-    /// It is in force.
+    /// The command was applied.
     done,
-    /// The record was settled before; the first settlement stays.
+    /// The record was settled before; the earlier result is kept.
     already_settled,
     /// Another request holds the claim.
     not_holder,
-    /// There is no such record, and none was made.
+    /// No record exists for the key, and none was created.
     no_record,
 };
 
--- a/bilberrylead/once/spent_keys.hpp
+++ b/bilberrylead/once/spent_keys.hpp
@@ -14,45 +14,46 @@
 namespace bilberrylead::once
 {
 
-/// Keys whose work ran, or may have run, and whose answer is no longer
-/// kept: all that is left to know is that it must not run again. 16 bytes
-/// each, so that they can be kept far longer than answers. Used by one
-/// thread.
+/// Keys whose work ran, or may have run, and whose answer is no longer kept.
+/// Only the fact that the work must not run again is stored, in 16 bytes per
+/// key, so that keys can be kept far longer than answers. Used by one thread.
 class spent_keys
 {
 public:
-    /// Keys that came in the same stretch of time and leave together.
+    /// Keys that were added in the same time bucket and expire together.
     struct bucket
     {
-        /// Which one, counted in stretches since the log began.
+        /// Index of the bucket, counted from log time 0.
         std::int64_t number = 0;
-        /// Its keys, sorted.
+        /// The keys, sorted.
         std::vector<work_digest> keys;
     };
 
-    /// Makes an empty set with these bounds.
+    /// Starts empty with the given bounds.
     explicit spent_keys(once_settings const& bounds);
 
-    /// Adds a key. False, and nothing is added, if there is no room.
+    /// Adds a key, `now` in log time. Returns false and adds nothing if the
+    /// maximum number of keys is reached.
     bool add(work_digest const& key, duration now);
-    /// True if the key is held.
+    /// True if the key is contained.
     bool contains(work_digest const& key) const;
-    /// Drops the keys that were held for the whole retention.
+    /// Drops the keys that were kept for the full retention.
     void expire(duration now);
-    /// Keys held.
+    /// Number of keys.
     std::size_t size() const;
 
-    /// All stretches, the oldest first, for a snapshot.
+    /// All buckets, oldest first, for a snapshot.
     std::vector<bucket> buckets() const;
-    /// Adds a stretch of a snapshot; false if it is not after the last one
-    /// or not sorted.
+    /// Adds a bucket of a snapshot. Returns false if it is older than the last
+    /// one or not sorted.
     bool restore(bucket restored);
 
 private:
     void start_bucket(std::int64_t number);
 
-    /// Stretches that the retention is made of: keys are held up to an
-    /// eighth longer, and a look-up searches nine lists.
+    /// Number of buckets that the retention is divided into. Keys are kept up
+    /// to one eighth longer than the retention, and a look-up searches nine
+    /// buckets.
     static constexpr std::int64_t bucket_count = 8;
 
     std::size_t max_size;
--- a/bilberrylead/once/work_digest.cpp
+++ b/bilberrylead/once/work_digest.cpp
@@ -11,7 +11,8 @@
 namespace
 {
 
-/// Adds a part with its length, so that "ab" + "c" differs from "a" + "bc".
+/// Appends a part with its length as prefix, so that "ab" + "c" differs from
+/// "a" + "bc".
 void add_part(std::string const& part, std::string& input)
 {
     std::uint64_t length = part.size();
--- a/bilberrylead/once/work_digest.hpp
+++ b/bilberrylead/once/work_digest.hpp
@@ -12,20 +12,21 @@
 namespace bilberrylead::once
 {
 
-/// Stands for a key or a request in 16 bytes instead of some hundred. Cut
-/// from SHA-256: with a digest that callers can find collisions for, one
-/// could pick a key that meets another caller's and read its answer.
+/// Digest that represents a key or a request in 16 bytes instead of some
+/// hundred. Truncated SHA-256: with a digest that is not collision-resistant
+/// a caller could choose a key that collides with another caller's key and
+/// read its answer.
 struct work_digest
 {
     /// Bytes kept of SHA-256.
     static constexpr std::size_t size = 16;
 
-    /// The digest of a key, of all its parts.
+    /// Digest of all parts of a key.
     static work_digest of(claim_key const& key);
-    /// The digest of a request's id.
+    /// Digest of a request id.
     static work_digest of(request_id const& request);
 
-    /// The bytes.
+    /// The digest bytes.
     std::array<std::uint8_t, size> content{};
 
     friend auto operator<=>(work_digest const&, work_digest const&) = default;
--- a/tests/unit/once/once_crash_test.cpp
+++ b/tests/unit/once/once_crash_test.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-/// How far an entry host is with a request when its process dies.
+/// Progress of a request when the process of its entry host ends.
 enum class crash_point
 {
     before_claim,
@@ -26,7 +26,7 @@
     caller_answered,
 };
 
-/// What becomes of the command that was on its way when the process died.
+/// Delivery of the command that was in flight when the process ended.
 enum class late_command
 {
     lost,
@@ -35,8 +35,8 @@
     twice,
 };
 
-/// The records, one upstream that counts runs, and entry hosts that carry
-/// one request each, as far as a crash lets them.
+/// The records, one upstream that counts runs, and entry hosts that process
+/// one request each until a crash.
 struct guarded_path
 {
     once_records records;
@@ -44,7 +44,7 @@
     int not_run_answers = 0;
     int completed_answers = 0;
 
-    /// Forwards if granted and answers the caller.
+    /// Applies the claim, runs the work if granted, and answers the caller.
     void process_claim(claim const& command)
     {
         std::string const request = command.request.text();
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Carries request r1 through e1 up to the crash. Gives the command
-    /// that was on its way.
+    /// Processes request r1 on e1 up to the crash. Returns the command that
+    /// was in flight.
     std::optional<once_command> process_until_crash(crash_point point)
     {
         claim command = claim_of("k", "r1");
@@ -132,8 +132,8 @@
         path.deliver(*in_flight);
     }
 
-    // The caller repeats through another host at once, then the host comes
-    // back, then the caller repeats through either.
+    // The caller repeats at once through another host. After the first host
+    // has restarted, the caller repeats through either.
     path.process_claim(claim_of("k", "r2", "e3"));
     path.records.apply(register_entry_host{host_id("e1"), 2});
     if (in_flight.has_value() && after_restart)
@@ -147,8 +147,8 @@
 
     cr_expect_leq(path.total_runs(), 1, "crash %d late %d",
                   static_cast<int>(point), static_cast<int>(late));
-    // Whenever nobody can have run it, a repeat does; when the answer is
-    // recorded, repeats get it.
+    // If no request can have run the work, a repeat runs it. If the answer is
+    // recorded, repeats receive it.
     bool const may_have_run = point > crash_point::claim_sent;
     bool const claim_arrived =
         point == crash_point::claim_sent && before_restart;
@@ -161,11 +161,11 @@
 
 } // namespace
 
-// The caller posts a grant through e1; e1's process dies at each point
-// between claim, forward, answer and record, and what it had sent is lost,
-// late or doubled. The caller, unanswered, posts again through e3, then
-// again once e1 is back. The upstream must see the grant at most once, and
-// who is told "not run" must be told the truth.
+// A caller posts a grant through e1. The process of e1 ends at each point
+// between claim, forward, answer and record, and the command in flight is
+// lost, late or duplicated. The caller, without an answer, repeats through e3
+// and again after e1 has restarted. The upstream must receive the grant at
+// most once, and "not run" must only be answered if the request did not run.
 Test(once_records, crash_at_every_point_when_repeated_runs_at_most_once)
 {
     for (int point = 0; point <= static_cast<int>(crash_point::caller_answered);
--- a/tests/unit/once/once_fixture.hpp
+++ b/tests/unit/once/once_fixture.hpp
@@ -63,7 +63,7 @@
     return refused != nullptr && refused->reason == reason;
 }
 
-/// Lets the log's time go by in steps that count in full.
+/// Advances the log time in steps that are short enough to count in full.
 inline void advance_log_time(once::once_records& records, duration time)
 {
     duration const step = std::chrono::seconds(1);
--- a/tests/unit/once/once_random_test.cpp
+++ b/tests/unit/once/once_random_test.cpp
@@ -67,8 +67,9 @@
     return advance_time{std::chrono::milliseconds(random() % 12'000)};
 }
 
-/// What a caller could hold against the records: who was granted a key and
-/// until when nobody else may be, and which answer was given.
+/// Checks the guarantees that callers rely on: which request was granted a
+/// key, until when no other request may be granted it, and which answer was
+/// returned.
 struct grant_checker
 {
     struct grant_state
@@ -94,7 +95,7 @@
                       "seed %u: granted twice", seed);
             cr_assert(!is_valid || !found->second.answer.has_value(),
                       "seed %u: granted after its answer", seed);
-            // Shortest time that the record can live from here.
+            // The shortest time for which the record can live from now on.
             this->grants[command.key] = {command.request,
                                          now + this->bounds.retention +
                                              this->bounds.spent_retention,
@@ -145,11 +146,11 @@
 
 } // namespace
 
-// Requests, restarts, late and doubled commands in any order, with so few
-// records that they fill up and so short a retention that they expire.
-// Whatever comes: a key is granted to one request until it is released or
-// expires, its answer never changes, and a replica that restarts from a
-// snapshot in the middle ends up equal byte by byte.
+// Requests, restarts, late and duplicated commands in random order. The bounds
+// are so small that records fill up and expire. In every sequence a key is
+// granted to one request until it is released or expires, its answer never
+// changes, and a replica that is repeatedly restored from a snapshot ends in a
+// state that is equal byte by byte.
 Test(once_records, random_commands_keep_every_guarantee_on_every_replica)
 {
     for (unsigned seed = 1; seed <= seeds; ++seed)
--- a/tests/unit/once/once_records_test.cpp
+++ b/tests/unit/once/once_records_test.cpp
@@ -116,7 +116,7 @@
          {claim_of("k", "r1"), release_of("k", "r1")},
          claim_of("k", "r2"),
          expected::granted},
-        {"released with another body then",
+        {"released, then claimed with another body",
          {claim_of("k", "r1"), release_of("k", "r1")},
          claim_of("k", "r2", "e1", 1, 8),
          expected::granted},
@@ -128,7 +128,7 @@
          {release_of("k", "r1")},
          claim_of("k", "r1"),
          expected::abandoned},
-        {"other request after that",
+        {"release overtook claim, other request",
          {release_of("k", "r1")},
          claim_of("k", "r2"),
          expected::granted},
@@ -141,7 +141,7 @@
          {claim_of("k", "r2"), release_of("k", "r1"), release_of("k", "r2")},
          claim_of("k", "r1"),
          expected::abandoned},
-        {"stranger's release",
+        {"release by another request",
          {claim_of("k", "r1"), release_of("k", "r2")},
          claim_of("k", "r3"),
          expected::in_progress},
@@ -173,11 +173,11 @@
          {restart},
          claim_of("k", "r1"),
          expected::superseded},
-        {"thawed holder's answer",
+        {"answer of a holder that resumed",
          {claim_of("k", "r1"), restart, complete_of("k", "r1")},
          claim_of("k", "r2", "e2"),
          expected::recorded},
-        {"thawed holder's release",
+        {"release by a holder that resumed",
          {claim_of("k", "r1"), restart, release_of("k", "r1")},
          claim_of("k", "r2", "e2"),
          expected::granted},
@@ -237,9 +237,9 @@
     cr_assert(kept.body_dropped && kept.body.empty());
 }
 
-// Callers send new keys without end. The records fill up; the claim after
-// that is refused and says when to come back. Nothing that is still valid
-// is forgotten, since its repeat would run a second time.
+// Callers keep sending new keys until the records are full. The next claim is
+// refused with a retry time. No valid record is dropped, because its repeat
+// would run a second time.
 Test(once_records, full_records_when_claimed_refuse_and_forget_nothing)
 {
     once_records records = small_records();
@@ -255,7 +255,8 @@
     cr_assert(std::get<claim_refused>(refused).retry_after == 20s);
     cr_assert_eq(records.size(), 4);
 
-    // 20 s turn the open ones unknown, another 100 s make them spent keys.
+    // Open records become unknown after 20 s and spent keys after another
+    // 100 s.
     advance_log_time(records, 119s);
     cr_assert(is_refused(records.apply(fifth), claim_refusal::no_room));
     advance_log_time(records, 1s);
@@ -291,8 +292,8 @@
                          claim_refusal::key_too_long));
 }
 
-// The room for answers is used up. Work still runs; its answer is kept
-// without the body, and the room comes back as answers are forgotten.
+// The maximum total size of answers is reached. Work still runs and its
+// answer is recorded without the body; capacity is freed as answers expire.
 Test(once_records, answer_bytes_when_used_up_drop_bodies_until_expiry)
 {
     once_records records = small_records();
@@ -314,9 +315,9 @@
     cr_assert_eq(records.answer_bytes(), 0);
 }
 
-// A caller repeats a posting hours later, when its answer is no longer
-// kept. It hears that the outcome is unknown; it must not run again. Only
-// after the longer retention is the key free.
+// A caller repeats a request hours later, when its answer is no longer kept.
+// The verdict is that the outcome is unknown, and the work must not run again.
+// The key can be claimed again only after the retention of spent keys.
 Test(once_records, key_when_its_answer_is_gone_is_never_granted)
 {
     once_records records = small_records();
@@ -338,14 +339,14 @@
         cr_assert(records.apply(release_of(key, "r")) ==
                   settle_result::no_record);
     }
-    // Spent keys leave in eighths of their retention.
+    // Spent keys expire in buckets of one eighth of their retention.
     advance_log_time(records, 201s);
     cr_assert_eq(records.spent_size(), 0);
     cr_assert(is<claim_granted>(records.apply(claim_of("done", "r3"))));
 }
 
-// The spent keys are full as well. Records then stay and claims are
-// refused, rather than an old key being forgotten and run again.
+// The spent keys are full as well. Records are then kept and claims refused;
+// dropping an old key would let its work run again.
 Test(once_records, spent_keys_when_full_hold_the_records_back)
 {
     once_records records = small_records();
@@ -367,8 +368,8 @@
     cr_assert_eq(records.spent_size(), 2);
 }
 
-// A holder vanishes without a trace and its host never comes back. Its
-// claim must not stay "in progress" for good, and never runs again either.
+// A holder ends without a report and its host never registers again. Its
+// claim must not stay "in progress" forever, and the work must not run again.
 Test(once_records, open_claim_when_over_the_maximum_run_time_is_unknown)
 {
     once_records records = small_records();
@@ -379,8 +380,8 @@
     cr_assert(is<claim_outcome_unknown>(records.apply(claim_of("k", "r2"))));
 }
 
-// A leader was frozen, or its clock jumps: it claims that years went by.
-// Records that are still valid must not expire by that.
+// A leader was suspended or its clock jumps, and it reports that years have
+// elapsed. Valid records must not expire because of it.
 Test(once_records, time_when_it_jumps_counts_one_step_only)
 {
     once_records records = small_records();
@@ -405,9 +406,10 @@
     cr_assert(records.apply(older) == late);
 }
 
-// A request gives up while its claim is still on its way, and its release
-// comes first, when the records are full: no record can remember it. Room
-// comes back before the claim arrives. Granted then, nobody would run it.
+// A request abandons the work while its claim is in flight. Its release
+// arrives first, when the records are full, so that no record can be created.
+// Capacity is free again when the claim arrives; if it were granted, no
+// request would run the work.
 Test(once_records, late_claim_whose_release_found_no_room_is_refused)
 {
     once_settings bounds;
