--- a/bilberrylead/once_client/once_client.hpp
+++ b/bilberrylead/once_client/once_client.hpp
@@ -14,65 +14,69 @@
 namespace bilberrylead::once_client
 {
 
-/// Gets claims for an entry host's requests and reports how they ended, as
-/// a reducer without clock or I/O. It finds the leader, sends again what
-/// was lost, and gives up a claim in time for the caller's answer.
+/// Acquires claims for an entry host's requests and reports their outcomes,
+/// as a reducer without clock or I/O. Sends commands to the leader, resends
+/// those that got no reply, and abandons a claim after
+/// once_client_settings::claim_timeout, so that the caller is answered in
+/// time.
 ///
-/// A claim that is given up may still be granted later, when its message
-/// arrives late: a release follows it, so that the work can be claimed
-/// again and the record never waits for somebody who has gone.
+/// An abandoned claim may still be granted if its message arrives late. The
+/// client therefore sends a release after it, so that the work can be
+/// claimed again and the record does not stay open without a holder.
 class once_client
 {
 public:
-    /// Makes a client without links.
+    /// Starts without links and not registered.
     explicit once_client(once_client_settings const& settings);
 
-    /// Takes one event. `now` never goes back.
-    std::vector<once_client_effect> reduce(once_client_event const& what,
+    /// Processes one event and returns the resulting effects. `now` must not
+    /// be earlier than in the previous call.
+    std::vector<once_client_effect> reduce(once_client_event const& event,
                                            instant now);
 
-    /// True if a leader is linked and knows this incarnation.
+    /// True if a link to the leader is open and a leader has registered this
+    /// incarnation.
     bool reachable() const;
 
-    /// The request's id in claims: this host's, this process's. It keeps the
-    /// number that the process started with when a larger incarnation is
-    /// taken, so that a claim under way keeps its id.
-    request_id id_of(local_request request) const;
+    /// The id of the request in claims: host, incarnation and request number.
+    /// Uses the incarnation that the process started with even after it has
+    /// registered with a larger one, so that a claim in flight keeps its id.
+    request_id id_of(local_request_id request) const;
 
 private:
-    /// A claim or report without an answer yet.
+    /// A claim or report that has no reply yet.
     struct open_command
     {
-        local_request request = 0;
+        local_request_id request = 0;
         once::once_command command;
-        instant wanted_at;
+        instant requested_at;
         instant sent_at;
         bool is_sent = false;
     };
 
     using command_map = std::map<std::uint64_t, open_command>;
 
-    void on(control_link_opened const& what);
-    void on(control_link_closed const& what);
-    void on(leader_named const& what);
-    void on(registration_answered const& what);
-    void on(verdict_received const& what);
-    void on(settlement_received const& what);
-    void on(claim_wanted const& what);
-    void on(completion_wanted const& what);
-    void on(release_wanted const& what);
-    void on(unknown_wanted const& what);
-    void on(client_tick const& what);
+    void on(control_link_opened const& event);
+    void on(control_link_closed const& event);
+    void on(leader_notice_received const& event);
+    void on(registration_reply_received const& event);
+    void on(claim_reply_received const& event);
+    void on(settle_reply_received const& event);
+    void on(claim_requested const& event);
+    void on(completion_reported const& event);
+    void on(release_requested const& event);
+    void on(unknown_outcome_reported const& event);
+    void on(client_tick const& event);
 
-    void add_report(local_request request, once::once_command command);
-    void add(local_request request, once::once_command command);
+    void add_report(local_request_id request, once::once_command command);
+    void add_command(local_request_id request, once::once_command command);
     std::optional<link::link_number> leader_link() const;
     void register_self();
-    void send_open();
+    void send_unsent_commands();
     void send(std::uint64_t number, open_command& command);
-    void send_again();
-    void give_up_late_claims();
-    void note_reachability();
+    void resend_overdue_commands();
+    void abandon_expired_claims();
+    void report_reachability_change();
 
     once_client_settings settings;
     std::uint64_t incarnation;
@@ -81,7 +85,7 @@
     host_id leader;
     bool is_registered = false;
     instant registration_sent_at;
-    bool was_reachable = false;
+    bool reported_reachable = false;
     std::uint64_t last_number = 0;
     command_map commands;
     std::size_t open_claims = 0;
--- a/bilberrylead/once_client/once_client_event.hpp
+++ b/bilberrylead/once_client/once_client_event.hpp
@@ -16,106 +16,107 @@
 namespace bilberrylead::once_client
 {
 
-/// The entry host's own number of a request; never used twice by a process.
-using local_request = std::uint64_t;
+/// Number of a request on this entry host; never reused within a process.
+using local_request_id = std::uint64_t;
 
 /// A link to a control host is open.
 struct control_link_opened
 {
-    /// Which one.
+    /// The link.
     link::link_number link = 0;
-    /// Which control host.
+    /// The control host at the other end.
     host_id host;
 };
 
-/// A link is gone.
+/// A link to a control host has closed.
 struct control_link_closed
 {
-    /// Which one.
+    /// The link.
     link::link_number link = 0;
 };
 
-/// A control host said who leads.
-struct leader_named
+/// A control host reported which host is the leader.
+struct leader_notice_received
 {
-    /// Over which link.
+    /// The link that it arrived on.
     link::link_number link = 0;
-    /// What it said.
+    /// The message.
     link::leader_notice content;
 };
 
-/// A control host answered a registration.
-struct registration_answered
+/// A control host replied to a registration.
+struct registration_reply_received
 {
-    /// What it said.
+    /// The message.
     link::registration_reply content;
 };
 
-/// A control host answered a claim.
-struct verdict_received
+/// A control host replied to a claim.
+struct claim_reply_received
 {
-    /// What it said.
+    /// The message.
     link::claim_reply content;
 };
 
-/// A control host answered a report.
-struct settlement_received
+/// A control host replied to a completion, release or unknown outcome.
+struct settle_reply_received
 {
-    /// What it said.
+    /// The message.
     link::settle_reply content;
 };
 
-/// A request needs its claim before it is forwarded.
-struct claim_wanted
+/// A request needs a claim before it can be forwarded.
+struct claim_requested
 {
     /// The request.
-    local_request request = 0;
-    /// What it would run.
+    local_request_id request = 0;
+    /// The key of the work to run.
     once::claim_key key;
     /// Digest of method, target and body.
     std::uint64_t body_digest = 0;
 };
 
 /// A claimed request ended with an answer.
-struct completion_wanted
+struct completion_reported
 {
     /// The request.
-    local_request request = 0;
-    /// What it ran.
+    local_request_id request = 0;
+    /// The key of the work that ran.
     once::claim_key key;
-    /// What the upstream answered.
+    /// The upstream's answer.
     once::recorded_answer answer;
 };
 
 /// A claimed request was not run and will not be.
-struct release_wanted
+struct release_requested
 {
     /// The request.
-    local_request request = 0;
-    /// What it did not run.
+    local_request_id request = 0;
+    /// The key of the work that did not run.
     once::claim_key key;
 };
 
 /// A claimed request may have run, and its answer is lost.
-struct unknown_wanted
+struct unknown_outcome_reported
 {
     /// The request.
-    local_request request = 0;
-    /// What it may have run.
+    local_request_id request = 0;
+    /// The key of the work that may have run.
     once::claim_key key;
 };
 
-/// Time has passed.
+/// Periodic timer; triggers resends and time-outs.
 struct client_tick
 {
 };
 
-/// Everything that can happen to a once_client.
+/// The events that once_client::reduce() accepts.
 using once_client_event =
-    std::variant<control_link_opened, control_link_closed, leader_named,
-                 registration_answered, verdict_received, settlement_received,
-                 claim_wanted, completion_wanted, release_wanted,
-                 unknown_wanted, client_tick>;
+    std::variant<control_link_opened, control_link_closed,
+                 leader_notice_received, registration_reply_received,
+                 claim_reply_received, settle_reply_received, claim_requested,
+                 completion_reported, release_requested,
+                 unknown_outcome_reported, client_tick>;
 
 } // namespace bilberrylead::once_client
 
