--- a/bilberrylead/control/control_reducer_group.cpp
+++ b/bilberrylead/control/control_reducer_group.cpp
@@ -142,7 +142,7 @@
         host.voter = state.member.voter;
         host.becomes_voter = state.member.voter_when_caught_up;
         host.caught_up = state.caught_up;
-        host.unresponsive_for = state.time_since_reply;
+        host.time_since_reply = state.time_since_reply;
         host.leader = host.host == this->settings.self;
         host.linked = this->control_links.contains(host.host);
         member_ids.insert(host.host);
--- a/bilberrylead/entry/service_state.cpp
+++ b/bilberrylead/entry/service_state.cpp
@@ -44,7 +44,7 @@
                              std::uint64_t seed,
                              policy::placement_settings const& placing)
     : random(seed), work_length(usual_length), placement(placing),
-      usual_load(initial_run_time, 0),
+      mean_load(initial_run_time, 0),
       slot_time(usual_length == config::work_length::brief
                     ? initial_brief_time
                     : initial_extended_time),
--- a/bilberrylead/entry/service_state.hpp
+++ b/bilberrylead/entry/service_state.hpp
@@ -192,7 +192,7 @@
     /// Usual run time, for the retry delay of callers.
     duration usual_run() const
     {
-        return this->usual_load.run_time();
+        return this->mean_load.run_time();
     }
 
     /// Acquires a slot of the upstream for a request that is being sent.
@@ -263,7 +263,7 @@
                     std::vector<upstream_id> const& excluded, instant now);
 
     bool may_send_to_cold(std::uint64_t upstream, std::uint32_t region) const;
-    policy::mean_load& usual_load_in(std::uint32_t region);
+    policy::mean_load& mean_load_in(std::uint32_t region);
     void fill_candidates(std::uint64_t object, reach const& reachable,
                          std::vector<upstream_id> const& tried, instant now);
 
@@ -277,8 +277,8 @@
     // Usual load over all upstreams, and over those of one region by its
     // number. A region starts with the overall value at the time of its first
     // use.
-    policy::mean_load usual_load;
-    std::map<std::uint32_t, policy::mean_load> usual_by_region;
+    policy::mean_load mean_load;
+    std::map<std::uint32_t, policy::mean_load> mean_load_by_region;
     policy::cold_share cold;
     policy::arrival_rate arrivals{demand_window};
     policy::region_shares shares{max_region_shift_per_s};
--- a/bilberrylead/entry/service_state_placement.cpp
+++ b/bilberrylead/entry/service_state_placement.cpp
@@ -30,12 +30,12 @@
 double service_state::demand(instant now) const
 {
     return this->arrivals.per_second(now) *
-           std::chrono::duration<double>(this->usual_load.run_time()).count();
+           std::chrono::duration<double>(this->mean_load.run_time()).count();
 }
 
-policy::mean_load& service_state::usual_load_in(std::uint32_t region)
+policy::mean_load& service_state::mean_load_in(std::uint32_t region)
 {
-    return this->usual_by_region.try_emplace(region, this->usual_load)
+    return this->mean_load_by_region.try_emplace(region, this->mean_load)
         .first->second;
 }
 
@@ -73,8 +73,8 @@
     record.estimate.record_report(slots_held, record.in_flight, now);
     double const others =
         slots_held > record.in_flight ? slots_held - record.in_flight : 0;
-    this->usual_load.record_held_by_others(others);
-    this->usual_load_in(record.region).record_held_by_others(others);
+    this->mean_load.record_held_by_others(others);
+    this->mean_load_in(record.region).record_held_by_others(others);
 }
 
 void service_state::record_run(upstream_id const& id, duration time,
@@ -83,7 +83,7 @@
     // The mean must follow upstreams of usual speed; a slow upstream must not
     // raise the usual run time.
     upstream_record& record = this->record_of(id);
-    policy::mean_load& siblings = this->usual_load_in(record.region);
+    policy::mean_load& siblings = this->mean_load_in(record.region);
     record.estimate.record_run(time, siblings.run_time(), now);
     if (object != 0)
     {
@@ -92,7 +92,7 @@
     duration const normal =
         scaled(time, 1.0 / std::max(1.0, record.estimate.slowdown(now)));
     siblings.record_run(normal);
-    this->usual_load.record_run(normal);
+    this->mean_load.record_run(normal);
 }
 
 void service_state::fill_candidates(std::uint64_t object,
@@ -108,7 +108,7 @@
             *this->configured_upstreams[index].upstream;
         upstream_record const& record = *this->upstream_records[index];
         policy::mean_load const& siblings =
-            this->usual_load_in(this->configured_upstreams[index].region);
+            this->mean_load_in(this->configured_upstreams[index].region);
         policy::placement_candidate& candidate = this->candidates[index];
         candidate.hash = record.hash;
         candidate.slots = std::max(1U, record.health.usable_slots());
--- a/bilberrylead/membership/member_planner.cpp
+++ b/bilberrylead/membership/member_planner.cpp
@@ -28,7 +28,7 @@
                    member_planner_settings const& settings)
 {
     return host.leader ||
-           (host.linked && host.unresponsive_for < settings.replace_after);
+           (host.linked && host.time_since_reply < settings.replace_after);
 }
 
 /// Counts the responsive voters, except the host itself, that are in its
@@ -106,7 +106,7 @@
         }
         duration const unresponsive_time = is_responsive(host, settings)
                                                ? duration::zero()
-                                               : host.unresponsive_for;
+                                               : host.time_since_reply;
         std::tuple<duration, colocated_voters> const weight{
             unresponsive_time, colocated_voters_of(host, hosts, settings)};
         if (worst == nullptr || weight > most)
@@ -142,7 +142,7 @@
     {
         duration const longest =
             host.becomes_voter ? settings.replace_after : settings.remove_after;
-        if (host.member && !host.voter && host.unresponsive_for >= longest)
+        if (host.member && !host.voter && host.time_since_reply >= longest)
         {
             return change(membership_action::remove, host);
         }
--- a/bilberrylead/membership/planned_host.hpp
+++ b/bilberrylead/membership/planned_host.hpp
@@ -31,7 +31,7 @@
     /// True if there is a link to it.
     bool linked = false;
     /// Time since its last response as a member; zero for the leader.
-    duration unresponsive_for{};
+    duration time_since_reply{};
     /// True for the leader, which is the host that plans.
     bool leader = false;
 };
--- a/tests/unit/membership/member_planner_test.cpp
+++ b/tests/unit/membership/member_planner_test.cpp
@@ -60,7 +60,7 @@
         host.member = change.action != membership_action::remove;
         host.voter = change.action == membership_action::add_voter;
         host.caught_up = host.member && host.linked;
-        host.unresponsive_for = host.linked ? 0s : host.unresponsive_for;
+        host.time_since_reply = host.linked ? 0s : host.time_since_reply;
     }
 }
 
@@ -104,7 +104,7 @@
 void lose(planned_host& host)
 {
     host.linked = false;
-    host.unresponsive_for = 2s;
+    host.time_since_reply = 2s;
     host.caught_up = false;
 }
 
@@ -206,7 +206,7 @@
         if (host.region == region_id("r1"))
         {
             host.linked = true;
-            host.unresponsive_for = 0s;
+            host.time_since_reply = 0s;
             host.caught_up = host.member;
         }
     }
@@ -252,9 +252,9 @@
                                                      return !host.voter;
                                                  });
     learner->linked = false;
-    learner->unresponsive_for = 2s;
+    learner->time_since_reply = 2s;
     cr_expect_not(next_change(hosts, two_disks()).has_value());
-    learner->unresponsive_for = 20s;
+    learner->time_since_reply = 20s;
     auto const change = next_change(hosts, two_disks());
     cr_assert(change.has_value());
     cr_expect(change->action == membership_action::remove);
